--- a/runcourse/cli.py
+++ b/runcourse/cli.py
@@ -17,32 +17,49 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="runcourse", description="A cluster scheduler.")
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, text in [("serve", "run a controller until it is killed"),
-                       ("check-config", "check the settings files and exit")]:
+    for name, text in [
+        ("serve", "run a controller until it is killed"),
+        ("check-config", "check the settings files and exit"),
+    ]:
         command = commands.add_parser(name, help=text, description=text)
-        command.add_argument("--config", type=Path, required=True, metavar="FILE",
-                             help="the platform's settings file (TOML)")
-        command.add_argument("--operators", type=Path, metavar="FILE",
-                             help="operators' own settings (S-expressions)")
-    for name, text in [("submit", "submit a job read from a JSON file"),
-                       ("status", "print a job's state"),
-                       ("cancel", "cancel a job")]:
+        command.add_argument(
+            "--config",
+            type=Path,
+            required=True,
+            metavar="FILE",
+            help="the platform's settings file (TOML)",
+        )
+        command.add_argument(
+            "--operators", type=Path, metavar="FILE", help="operators' own settings (S-expressions)"
+        )
+    for name, text in [
+        ("submit", "submit a job read from a JSON file"),
+        ("status", "print a job's state"),
+        ("cancel", "cancel a job"),
+    ]:
         command = commands.add_parser(name, help=text, description=text)
-        command.add_argument("--api", required=True, metavar="HOST:PORT",
-                             help="a controller's api_addr")
-        command.add_argument("what", help="a JSON file, or - for standard input"
-                             if name == "submit" else "the job's id")
-    command = commands.add_parser("inspect", help="print a controller's view: shares, owners,"
-                                  " machines, waiting work and why it waits")
-    command.add_argument("--internal", required=True, metavar="HOST:PORT",
-                         help="a controller's internal_addr")
+        command.add_argument(
+            "--api", required=True, metavar="HOST:PORT", help="a controller's api_addr"
+        )
+        command.add_argument(
+            "what",
+            help="a JSON file, or - for standard input" if name == "submit" else "the job's id",
+        )
+    command = commands.add_parser(
+        "inspect",
+        help="print a controller's view: shares, owners, machines, waiting work and why it waits",
+    )
+    command.add_argument(
+        "--internal", required=True, metavar="HOST:PORT", help="a controller's internal_addr"
+    )
     return parser
 
 
 def _logging() -> None:
     level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
-    logging.basicConfig(level=level, stream=sys.stderr,
-                        format="%(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(
+        level=level, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s"
+    )
     logging.getLogger("asyncio").setLevel(max(level, logging.WARNING))
 
 
--- a/runcourse/client.py
+++ b/runcourse/client.py
@@ -76,7 +76,8 @@
 async def _send(host: str, port: int, method: str, target: str, body: Any) -> tuple[int, bytes]:
     client = Client(host, port, limit=1, connect_s=3.0)
     try:
-        return await client.request(method, target,
-                                    wire.encode(body) if body is not None else None, 10.0)
+        return await client.request(
+            method, target, wire.encode(body) if body is not None else None, 10.0
+        )
     finally:
         client.close()
--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -82,7 +82,8 @@
             rps=min(self.rps, soon.rps or self.rps),
             write_rps=min(self.write_rps, soon.write_rps or self.write_rps),
             value_bytes=int(1024 * min(self.value_kb, soon.value_kb or self.value_kb)),
-            txn_ops=min(self.txn_ops, soon.txn_ops or self.txn_ops))
+            txn_ops=min(self.txn_ops, soon.txn_ops or self.txn_ops),
+        )
 
 
 class StateLimits(NamedTuple):
@@ -115,8 +116,12 @@
         the rest a fifth is for commands to workers, three fifths are for their reports, and
         a fifth is left for users and health checks, who may use all that workers don't."""
         rest = max(self.fd_limit - 40 - 4 * nodes, self.fd_limit // 4, 10)
-        return Sockets(commands=max(2, rest // 10), kept=max(2, rest // 10),
-                       reports=rest * 6 // 10, served=rest * 8 // 10)
+        return Sockets(
+            commands=max(2, rest // 10),
+            kept=max(2, rest // 10),
+            reports=rest * 6 // 10,
+            served=rest * 8 // 10,
+        )
 
 
 class Deployment(Struct, frozen=True):
@@ -208,7 +213,8 @@
         return Operators()
     try:
         tree = sexpdata.loads(  # type: ignore[no-untyped-call]
-            path.read_text(encoding="utf-8"))
+            path.read_text(encoding="utf-8")
+        )
     except OSError as problem:
         raise SettingsError(f"{path}: file: {problem.strerror}") from problem
     except Exception as problem:  # sexpdata has no common base for what it raises
--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -23,10 +23,16 @@
 
 
 class Authority:
-    def __init__(self, cx: Context, store: Store, jobs: Jobs, versions: Versions,
-                 on_live: Callable[[], None],
-                 on_lost: Callable[[str], None],
-                 on_cancelled: Callable[[list[JobId]], None]) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        store: Store,
+        jobs: Jobs,
+        versions: Versions,
+        on_live: Callable[[], None],
+        on_lost: Callable[[str], None],
+        on_cancelled: Callable[[list[JobId]], None],
+    ) -> None:
         self.cx = cx
         self.store = store
         self.jobs = jobs
@@ -139,8 +145,9 @@
         # Whatever process wrote this key under this name before is dead. But a copy of its
         # write, or of this one, may yet be applied: the version makes it fail.
         me = LIVE + self.cx.me
-        self.store.commit([(me, int(self.store.stamp(me)))],
-                          [(me, self._value(), self.grant)], done, Store.URGENT)
+        self.store.commit(
+            [(me, int(self.store.stamp(me)))], [(me, self._value(), self.grant)], done, Store.URGENT
+        )
 
     def _extend(self) -> None:
         self._busy = True
@@ -149,10 +156,12 @@
         def done(outcome: Outcome) -> None:
             self._busy = False
             # Counted from the sending: where answers are slow, the next one must not wait too.
-            self._next = (Instant(outcome.began + self.ttl / 4) if outcome.status == 200
-                          else later(self.cx.now, 0.2))
-            self.store.note_contact(outcome.status == 200, outcome.status,
-                                    Instant(outcome.began))
+            self._next = (
+                Instant(outcome.began + self.ttl / 4)
+                if outcome.status == 200
+                else later(self.cx.now, 0.2)
+            )
+            self.store.note_contact(outcome.status == 200, outcome.status, Instant(outcome.began))
             if outcome.status == 200:
                 self.renewed = max(self.renewed, Instant(outcome.began))
             elif outcome.status == 404:
@@ -172,7 +181,7 @@
         self._on_lost(why)
 
     def _live_changed(self, key: str, value: Any, stamp: Stamp) -> None:
-        member = Member(key[len(LIVE):])
+        member = Member(key[len(LIVE) :])
         self.versions.live_changed(key, value, stamp)
         if member == self.cx.me:
             if self.live and (value is None or value.get("inc") != self.inc):
@@ -214,8 +223,12 @@
         self._ask += 1
         self._asked_at[self._ask] = now
         self._asked_at.pop(self._ask - 20, None)
-        self.cx.out.append(Say(None, {"t": "vouch?", "inc": self.inc, "n": self._ask,
-                                      "applied": self.store.applied}))
+        self.cx.out.append(
+            Say(
+                None,
+                {"t": "vouch?", "inc": self.inc, "n": self._ask, "applied": self.store.applied},
+            )
+        )
 
     def asked(self, member: Member, message: dict[str, Any]) -> None:
         """A peer without contact asks whether this node has none either."""
@@ -238,8 +251,19 @@
         )
         if ok:
             self._vouched[member] = Instant(now + self.vouch_s * (1 + DRIFT))
-        self.cx.out.append(Say(member, {"t": "vouch", "inc": inc, "n": message["n"], "ok": ok,
-                                        "contact": recently, "cancelled": news[:MOST_NEWS]}))
+        self.cx.out.append(
+            Say(
+                member,
+                {
+                    "t": "vouch",
+                    "inc": inc,
+                    "n": message["n"],
+                    "ok": ok,
+                    "contact": recently,
+                    "cancelled": news[:MOST_NEWS],
+                },
+            )
+        )
 
     def answered(self, member: Member, message: dict[str, Any]) -> None:
         sent = self._asked_at.get(int(message["n"]))
--- a/runcourse/core/balance.py
+++ b/runcourse/core/balance.py
@@ -17,8 +17,14 @@
 
 
 class Balance:
-    def __init__(self, cx: Context, shares: Shares, fleet: Fleet, loads: dict[ShareNo, Load],
-                 yielding: Yielding) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        shares: Shares,
+        fleet: Fleet,
+        loads: dict[ShareNo, Load],
+        yielding: Yielding,
+    ) -> None:
         self.cx = cx
         self.shares = shares
         self.fleet = fleet
@@ -27,13 +33,19 @@
         self._vacate_at = cx.now
         self._balance_at = cx.now
 
-    def move_idle(self, unmet: dict[ShareNo, list[Need]],
-                   idle: dict[ShareNo, list[tuple[float, MachineId, Record]]]) -> None:
+    def move_idle(
+        self,
+        unmet: dict[ShareNo, list[Need]],
+        idle: dict[ShareNo, list[tuple[float, MachineId, Record]]],
+    ) -> None:
         """Empty machines go towards shares with waiting tasks."""
         for share, needs in unmet.items():
             for need in needs:
-                others = [s for s in self.shares.all()
-                          if s != share and not any(n.count > 0 for n in unmet.get(s, ()))]
+                others = [
+                    s
+                    for s in self.shares.all()
+                    if s != share and not any(n.count > 0 for n in unmet.get(s, ()))
+                ]
                 if need.block and need.count > 0 and not self._one_zone(need, others, idle):
                     continue
                 for other in others:
@@ -46,11 +58,16 @@
                         if n and serves(need, record.type, record.zone, record.spot):
                             need.count -= n
                             idle[other].remove(entry)
-                            self.yielding.ask_owner(other, {"t": "give", "machine": id,
-                                                            "share": share})
+                            self.yielding.ask_owner(
+                                other, {"t": "give", "machine": id, "share": share}
+                            )
 
-    def _one_zone(self, need: Need, others: list[ShareNo],
-                  idle: dict[ShareNo, list[tuple[float, MachineId, Record]]]) -> bool:
+    def _one_zone(
+        self,
+        need: Need,
+        others: list[ShareNo],
+        idle: dict[ShareNo, list[tuple[float, MachineId, Record]]],
+    ) -> bool:
         """Is there a zone with empty machines for all that it lacks? Then only those are moved."""
         room: dict[str, int] = {}
         for other in others:
@@ -72,25 +89,39 @@
         now = self.cx.now
         if now < self._vacate_at:
             return
-        waiting = sorted(((need.rank, -need.age, share, need) for share, needs in unmet.items()
-                          for need in needs if need.asked > 0 and not need.spot
-                          and need.age >= VACATE_AFTER_S and self._one_machine(need)),
-                         key=lambda w: w[:3])
+        waiting = sorted(
+            (
+                (need.rank, -need.age, share, need)
+                for share, needs in unmet.items()
+                for need in needs
+                if need.asked > 0
+                and not need.spot
+                and need.age >= VACATE_AFTER_S
+                and self._one_machine(need)
+            ),
+            key=lambda w: w[:3],
+        )
         for _, _, share, need in waiting:
-            others = sorted({r.share for r in self.fleet.records.values()
-                             if r.share != share and not r.leaving
-                             and serves(need, r.type, r.zone, r.spot)})
+            others = sorted(
+                {
+                    r.share
+                    for r in self.fleet.records.values()
+                    if r.share != share and not r.leaving and serves(need, r.type, r.zone, r.spot)
+                }
+            )
             if others:
                 self._vacate_at = Instant(now + 1.0)
                 other = self.cx.rng.choice(others)
-                self.yielding.ask_owner(other, {"t": "vacate", "share": other, "to": share,
-                                        "need": need.raw})
+                self.yielding.ask_owner(
+                    other, {"t": "vacate", "share": other, "to": share, "need": need.raw}
+                )
                 return
 
     def _one_machine(self, need: Need) -> bool:
         """Would one machine, emptied, be of use?"""
-        return not need.block or any(fits_times(need.size, t.size) >= need.asked
-                                     for t in self.fleet.types.values())
+        return not need.block or any(
+            fits_times(need.size, t.size) >= need.asked for t in self.fleet.types.values()
+        )
 
     def balance(self, cpus: dict[ShareNo, float]) -> None:
         """Shares are sized by what waits and runs. While all of them are short no machine falls
@@ -99,8 +130,11 @@
         now = self.cx.now
         if now < self._balance_at:
             return
-        asked = {s: load.used + sum(n.size.cpus * n.asked for n in load.needs)
-                 for s, load in self.loads.items() if now - load.at < 5.0}
+        asked = {
+            s: load.used + sum(n.size.cpus * n.asked for n in load.needs)
+            for s, load in self.loads.items()
+            if now - load.at < 5.0
+        }
         total, capacity = sum(asked.values()), sum(cpus[s] for s in asked)
         if len(asked) < 2 or total <= capacity or capacity <= 0:
             return
@@ -110,10 +144,14 @@
         share = min(lacks, key=lambda s: lacks[s])
         if asked[to] * cpus[share] < UNEVEN * asked[share] * cpus[to]:
             return
-        need = max((n for n in self.loads[to].needs if n.asked > 0),
-                   key=lambda n: n.size.cpus * n.asked, default=None)
+        need = max(
+            (n for n in self.loads[to].needs if n.asked > 0),
+            key=lambda n: n.size.cpus * n.asked,
+            default=None,
+        )
         # Half of it: what is asked for changes while machines fall empty.
         half = min(lacks[to], -lacks[share]) / 2
         if need is not None:
-            self.yielding.ask_owner(share, {"t": "yield", "share": share, "to": to, "cpus": half,
-                                    "need": need.raw})
+            self.yielding.ask_owner(
+                share, {"t": "yield", "share": share, "to": to, "cpus": half, "need": need.raw}
+            )
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -45,8 +45,9 @@
 
 
 class Confirmations:
-    def __init__(self, cx: Context, store: Store, authority: Authority, shares: Shares,
-                 jobs: Jobs) -> None:
+    def __init__(
+        self, cx: Context, store: Store, authority: Authority, shares: Shares, jobs: Jobs
+    ) -> None:
         self.cx = cx
         self.store = store
         self.authority = authority
@@ -116,8 +117,17 @@
                 continue
             self._number += 1
             self._vouch_asked[self._number] = job.uid
-            self.cx.out.append(Say(member, {"t": "vouch?", "inc": self.authority.inc,
-                                            "n": self._number, "applied": job.cancelled - 1}))
+            self.cx.out.append(
+                Say(
+                    member,
+                    {
+                        "t": "vouch?",
+                        "inc": self.authority.inc,
+                        "n": self._number,
+                        "applied": job.cancelled - 1,
+                    },
+                )
+            )
 
     # --- what peers say ------------------------------------------------------------------
 
@@ -132,8 +142,7 @@
     def knowledge(self, uid: JobId) -> dict[str, object]:
         """This node's word that it knows of the cancellation, and whether as its job's owner."""
         job = self.jobs.get(uid)
-        owns = job is not None and self.shares.may_command(
-            self.shares.of_team(Team(job.spec.team)))
+        owns = job is not None and self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
         return {"t": "knows", "uid": uid, "owner": owns}
 
     def told(self, member: Member, uid: JobId, owner: bool) -> None:
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -46,8 +46,9 @@
         recent = [uid for uid, at in machine.errors.items() if now - at < FAULTY_S]
         if len(recent) >= FAULTY_AT or again:
             machine.quarantined_until = Instant(now + FAULTY_S)
-            self.cx.log("warning", f"machine {machine.id}: tasks of {len(recent)} jobs failed,"
-                                   " set aside")
+            self.cx.log(
+                "warning", f"machine {machine.id}: tasks of {len(recent)} jobs failed, set aside"
+            )
         elif len(work.errors) == 1:  # on a second machine it is rather the job's own mistake
             machine.quarantined_until = max(machine.quarantined_until, Instant(now + PAUSE_S))
 
@@ -59,10 +60,12 @@
         if len(work.errors) >= MISTAKEN_AT:
             return True
         machines = self.fleet.machines
-        well = sum(id in machines and self.cx.now - machines[id].did_well < FAULTY_S
-                   for id in work.errors)
-        return well >= 2 or (sum(work.errors.values()) >= MISTAKEN_TRIES
-                             and (len(work.errors) >= 2 or well >= 1))
+        well = sum(
+            id in machines and self.cx.now - machines[id].did_well < FAULTY_S for id in work.errors
+        )
+        return well >= 2 or (
+            sum(work.errors.values()) >= MISTAKEN_TRIES and (len(work.errors) >= 2 or well >= 1)
+        )
 
     def _does_well(self, work: Work) -> bool:
         return bool(work.job.done_count or work.finished) or self.goes_well(work)
@@ -70,16 +73,20 @@
     def goes_well(self, work: Work) -> bool:
         """Has a task of the job run for longer than those that failed?"""
         enough = 1.5 * work.fails_after + 1.0
-        return any(p.stage == "running" and self.cx.now - p.ran_since > enough
-                   for p in self.fleet.of_job(work.job.uid))
+        return any(
+            p.stage == "running" and self.cx.now - p.ran_since > enough
+            for p in self.fleet.of_job(work.job.uid)
+        )
 
     def _found_mistaken(self, work: Work) -> None:
         """With many such jobs about, each machine has run some: none is set aside for them."""
         now = self.cx.now
         uid = work.job.uid
         work.mistaken = True
-        self.cx.log("warning", f"job {uid}: failed on {len(work.errors)} machines, tried again"
-                               " one task at a time")
+        self.cx.log(
+            "warning",
+            f"job {uid}: failed on {len(work.errors)} machines, tried again one task at a time",
+        )
         self._put_off(work)
         for id in work.errors:
             machine = self.fleet.machines.get(id)
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -72,8 +72,13 @@
 
         self.store.commit(when, then, done)
 
-    def _pages(self, job: Job, bits: int, when: list[tuple[str, int]],
-               then: list[tuple[str, Any, int | None]]) -> int:
+    def _pages(
+        self,
+        job: Job,
+        bits: int,
+        when: list[tuple[str, int]],
+        then: list[tuple[str, Any, int | None]],
+    ) -> int:
         """Adds what stores these finishes, as many as go into a transaction; returns which. Pages
         that grow too large go on in parts: what a page holds already stays where it is."""
         stored = 0
--- a/runcourse/core/gang_room.py
+++ b/runcourse/core/gang_room.py
@@ -42,9 +42,18 @@
 
 
 class GangRoom:
-    def __init__(self, cx: Context, shares: Shares, fleet: Fleet, quota: Quota, gangs: Gangs,
-                 preemption: Preemption, budget: Budget, score: Score,
-                 within: Mapping[str, float]) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        shares: Shares,
+        fleet: Fleet,
+        quota: Quota,
+        gangs: Gangs,
+        preemption: Preemption,
+        budget: Budget,
+        score: Score,
+        within: Mapping[str, float],
+    ) -> None:
         self.cx = cx
         self.shares = shares
         self.fleet = fleet
@@ -55,8 +64,15 @@
         self.score = score
         self.within = within  # seconds that a class is promised to start in
 
-    def serve(self, work: Work, usable: Usable, machines: Iterable[Machine],
-              claimed: set[MachineId], unlocated: Size, last: bool) -> int:
+    def serve(
+        self,
+        work: Work,
+        usable: Usable,
+        machines: Iterable[Machine],
+        claimed: set[MachineId],
+        unlocated: Size,
+        last: bool,
+    ) -> int:
         """Start all that is pending of the gang, or nothing; returns how many tasks need room.
         Only the `last` try may stop others."""
         job, n = work.job, len(work.pending)
@@ -66,8 +82,14 @@
         if not self.quota.allows(job, unlocated.plus(self.gangs.size(work))):
             work.waits = "team limit"
             return 0
-        fits = [m for m in machines if job.size.fits(m.room) and m.id not in claimed
-                and permits(job, m) and zone_open(work, m.record.zone)]
+        fits = [
+            m
+            for m in machines
+            if job.size.fits(m.room)
+            and m.id not in claimed
+            and permits(job, m)
+            and zone_open(work, m.record.zone)
+        ]
         plan = self._plan(work, fits)
         if plan is None:
             work.waits = NO_ROOM
@@ -79,10 +101,13 @@
         attempt = holding.next_attempt() if attempt is None else attempt
         for number, machine in plan.places:
             self.fleet.place(job, number, machine, attempt)
-        self.cx.log("debug", f"gang {job.uid} placed on"
-                             f" {len({m.id for _, m in plan.places})} machines,"
-                             f" {self.cx.now - job.submitted:.2f} s after its job,"
-                             f" images there in {plan.slowest:.1f} s")
+        self.cx.log(
+            "debug",
+            f"gang {job.uid} placed on"
+            f" {len({m.id for _, m in plan.places})} machines,"
+            f" {self.cx.now - job.submitted:.2f} s after its job,"
+            f" images there in {plan.slowest:.1f} s",
+        )
         return 0
 
     def _plan(self, work: Work, fits: list[Machine]) -> Plan | None:
@@ -91,14 +116,17 @@
         zones: dict[str, list[Machine]] = {}
         for machine in fits:
             zones.setdefault(machine.record.zone, []).append(machine)
-        plans = [plan for zone in sorted(zones)
-                 if (plan := self._fill(work, zones[zone])) is not None]
+        plans = [
+            plan for zone in sorted(zones) if (plan := self._fill(work, zones[zone])) is not None
+        ]
         return min(plans, key=lambda p: (p.slowest, -p.score), default=None)
 
     def _fill(self, work: Work, machines: list[Machine]) -> Plan | None:
         job, n = work.job, len(work.pending)
-        room = {m.id: min(fits_times(job.size, m.room), MOST_LISTED - len(m.placements))
-                for m in machines}
+        room = {
+            m.id: min(fits_times(job.size, m.room), MOST_LISTED - len(m.placements))
+            for m in machines
+        }
         if sum(room.values()) < n:
             return None
         pool = self.budget.sample(machines, 4 * n)
@@ -140,8 +168,14 @@
         """Single tasks would take whatever falls free before it is enough for a gang. So for those
         that have waited longest, where least is missing, nothing else is started for a while;
         no more machines than they need, none whose work will take long, and a part of all only."""
-        aged = [w for w in waiting if w.job.spec.gang and not w.mistaken and w.attempt is None
-                and self.cx.now > w.job.submitted + self._patience(w.job)]
+        aged = [
+            w
+            for w in waiting
+            if w.job.spec.gang
+            and not w.mistaken
+            and w.attempt is None
+            and self.cx.now > w.job.submitted + self._patience(w.job)
+        ]
         if not aged:
             return {}
         reserved: dict[MachineId, JobId] = {}
@@ -181,8 +215,9 @@
         best: tuple[int, list[Machine]] | None = None
         for zone in sorted(zones):
             lacks, chosen, there = 0, [], 0
-            for free, soon, machine in sorted(zones[zone],
-                                              key=lambda z: (z[0] - z[1], -z[1], z[2].id)):
+            for free, soon, machine in sorted(
+                zones[zone], key=lambda z: (z[0] - z[1], -z[1], z[2].id)
+            ):
                 if there >= n:
                     break
                 there += soon
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -69,9 +69,12 @@
                 pause = min(INCOMPLETE_MOST_S, INCOMPLETE_FIRST_S * 2 ** min(work.incomplete, 8))
                 work.incomplete += 1
                 work.not_before = Instant(now + pause)
-                self.cx.log("warning", f"gang {work.job.uid}: {self._missing(work)} within"
-                                       f" {now - placement.since:.1f} s, tried again in"
-                                       f" {pause:.0f} s")
+                self.cx.log(
+                    "warning",
+                    f"gang {work.job.uid}: {self._missing(work)} within"
+                    f" {now - placement.since:.1f} s, tried again in"
+                    f" {pause:.0f} s",
+                )
                 work.ending = True
             elif work.started:
                 work.ending = True
@@ -82,8 +85,11 @@
 
     def _comes(self, work: Work) -> bool:
         """Are images of other tasks of the gang still on their way?"""
-        return not work.started and not work.ending and any(
-            p.stage in ("sent", "fetching") for p in self.fleet.of_job(work.job.uid))
+        return (
+            not work.started
+            and not work.ending
+            and any(p.stage in ("sent", "fetching") for p in self.fleet.of_job(work.job.uid))
+        )
 
     def _missing(self, work: Work) -> str:
         return f"{len(work.pending)} of {work.job.spec.tasks} tasks were not there"
@@ -101,8 +107,11 @@
     def look(self, work: Work) -> str:
         """Why nothing of the gang may be started now; empty: all that is pending may. Asked only
         when every task that may be somewhere is located."""
-        if not work.ending and work.pending and (work.started or any(
-                p.stage == "saving" for p in self.fleet.of_job(work.job.uid))):
+        if (
+            not work.ending
+            and work.pending
+            and (work.started or any(p.stage == "saving" for p in self.fleet.of_job(work.job.uid)))
+        ):
             # A task of a running gang is nowhere, perhaps since before a takeover.
             work.ending = True
             self._end(work)
@@ -128,10 +137,13 @@
             self.fleet.stop(placement, grace(placement) if grace_s is None else grace_s)
             return
         members = self.fleet.of_job(work.job.uid)
-        all_told = (len(members) == work.job.spec.tasks and all(
-            not m.machine.doubted and m.machine.addr and not m.machine.do_open
+        all_told = len(members) == work.job.spec.tasks and all(
+            not m.machine.doubted
+            and m.machine.addr
+            and not m.machine.do_open
             and self.fleet.silent_s(m.machine) < 2.5 * self.cx.platform.settings.workers.report_s
-            for m in members))
+            for m in members
+        )
         work.ending = True
         for member in members:
             if not member.stopping:
--- a/runcourse/core/inventory.py
+++ b/runcourse/core/inventory.py
@@ -26,9 +26,17 @@
 
 
 class Inventory:
-    def __init__(self, cx: Context, store: Store, shares: Shares, fleet: Fleet,
-                 loads: dict[ShareNo, Load], leading: Callable[[], bool],
-                 leader: Callable[[], str | None], guard: Callable[[], tuple[str, int]]) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        store: Store,
+        shares: Shares,
+        fleet: Fleet,
+        loads: dict[ShareNo, Load],
+        leading: Callable[[], bool],
+        leader: Callable[[], str | None],
+        guard: Callable[[], tuple[str, int]],
+    ) -> None:
         self.cx = cx
         self.store = store
         self.shares = shares
@@ -96,7 +104,7 @@
         self._listed_now = present
         self.adopt(found)
         for n in range(0, len(failed), MAX_RELEASE):
-            self._release(failed[n:n + MAX_RELEASE])
+            self._release(failed[n : n + MAX_RELEASE])
         # Once listed, a machine stays listed until it is gone; but a list may be older than
         # the one before it, by no more than twice the lag.
         gone = []
@@ -131,12 +139,16 @@
         self._released.update(ids)
         size = max(1, self.cx.limits.txn_ops)
         for n in range(0, len(ids), size):
-            self._drop_batch(ids[n:n + size])
+            self._drop_batch(ids[n : n + size])
         surplus = len(self.fleet.gone) - REMEMBERED * max(self.largest, 250)
         if surplus > 0:
-            oldest = sorted(self.fleet.gone)[:min(surplus, size)]
-            self.store.commit([self.guard()], [(MACHINE + id, None, None) for id in oldest],
-                              lambda result, stamp: None, Store.LATER)
+            oldest = sorted(self.fleet.gone)[: min(surplus, size)]
+            self.store.commit(
+                [self.guard()],
+                [(MACHINE + id, None, None) for id in oldest],
+                lambda result, stamp: None,
+                Store.LATER,
+            )
 
     def _drop_batch(self, ids: list[MachineId]) -> None:
         def done(result: str, stamp: Stamp) -> None:
@@ -147,8 +159,12 @@
                 self._drop_later.extend(id for id in ids if id in self.fleet.records)
 
         when = [(MACHINE + id, int(self.fleet.records[id].stamp)) for id in ids]
-        self.store.commit([self.guard(), *when],
-                          [(MACHINE + id, {"gone": True}, None) for id in ids], done, Store.OWNER)
+        self.store.commit(
+            [self.guard(), *when],
+            [(MACHINE + id, {"gone": True}, None) for id in ids],
+            done,
+            Store.OWNER,
+        )
 
     def reported_unknown(self, report: Report) -> None:
         """A worker reports whose machine nobody recorded: a late hire, an old fleet, or a
@@ -156,22 +172,35 @@
         if report.machine in self.fleet.gone:
             return
         if self.leading():
-            self._check_unknown(report.machine, report.addr, report.type, report.zone,
-                                report.spot)
+            self._check_unknown(report.machine, report.addr, report.type, report.zone, report.spot)
         else:
             leader = self.leader()
             if leader and leader != self.cx.me:
-                self.cx.out.append(Say(Member(leader), {
-                    "t": "unknown", "id": report.machine, "addr": report.addr,
-                    "type": report.type, "zone": report.zone, "spot": report.spot}))
+                self.cx.out.append(
+                    Say(
+                        Member(leader),
+                        {
+                            "t": "unknown",
+                            "id": report.machine,
+                            "addr": report.addr,
+                            "type": report.type,
+                            "zone": report.zone,
+                            "spot": report.spot,
+                        },
+                    )
+                )
 
     def told_unknown(self, message: dict[str, Any]) -> None:
         if self.leading():
-            self._check_unknown(MachineId(str(message["id"])), str(message["addr"]),
-                                str(message["type"]), str(message["zone"]), bool(message["spot"]))
-
-    def _check_unknown(self, id: MachineId, addr: str, type_: str, zone: str, spot: bool
-                       ) -> None:
+            self._check_unknown(
+                MachineId(str(message["id"])),
+                str(message["addr"]),
+                str(message["type"]),
+                str(message["zone"]),
+                bool(message["spot"]),
+            )
+
+    def _check_unknown(self, id: MachineId, addr: str, type_: str, zone: str, spot: bool) -> None:
         """A report is no proof that its machine exists: the cloud's list is, or the worker
         itself, asked now."""
         if id in self.fleet.gone or id in self._released or id in self.fleet.records:
@@ -195,8 +224,13 @@
         batch: list[MachineId] = []
         counts: tuple[dict[ShareNo, float], dict[tuple[ShareNo, str], int]] | None = None
         for id, type_, zone, spot, share in found:
-            if (id in self._adopting or id in self.fleet.records or id in self._released
-                    or id in self.fleet.gone or type_ not in self.fleet.types):
+            if (
+                id in self._adopting
+                or id in self.fleet.records
+                or id in self._released
+                or id in self.fleet.gone
+                or type_ not in self.fleet.types
+            ):
                 continue
             if share is None:
                 counts = counts or self.counts()
@@ -207,7 +241,7 @@
             batch.append(id)
         size = max(1, self.cx.limits.txn_ops)
         for n in range(0, len(batch), size):
-            self._record(batch[n:n + size])
+            self._record(batch[n : n + size])
 
     def _record(self, ids: list[MachineId]) -> None:
         def done(result: str, stamp: Stamp) -> None:
@@ -218,20 +252,31 @@
             for id in ids:
                 record = self._adopting.pop(id, None)
                 # One of them has a record already: the others one by one.
-                if (result == "conflict" and len(ids) > 1 and record is not None
-                        and id not in self.fleet.records and id not in self.fleet.gone):
+                if (
+                    result == "conflict"
+                    and len(ids) > 1
+                    and record is not None
+                    and id not in self.fleet.records
+                    and id not in self.fleet.gone
+                ):
                     self._adopting[id] = record
                     self._record([id])
 
-        self.store.commit([self.guard(), *((MACHINE + id, int(ABSENT)) for id in ids)],
-                          [(MACHINE + id, self._adopting[id].value(), None) for id in ids],
-                          done, Store.OWNER)
+        self.store.commit(
+            [self.guard(), *((MACHINE + id, int(ABSENT)) for id in ids)],
+            [(MACHINE + id, self._adopting[id].value(), None) for id in ids],
+            done,
+            Store.OWNER,
+        )
 
     def _wanted(self, share: ShareNo) -> float:
         """What a share should hold of the fleet, in CPUs: its waiting and running requests,
         and before there are any, as its teams are many."""
-        teams = sum(1 for team in self.cx.platform.settings.teams
-                    if self.shares.of_team(Team(team.name)) == share)
+        teams = sum(
+            1
+            for team in self.cx.platform.settings.teams
+            if self.shares.of_team(Team(team.name)) == share
+        )
         load = self.loads.get(share)
         waiting = sum(n.size.cpus * n.count for n in load.needs) if load else 0.0
         return max(teams, 0.5) + (load.used if load else 0.0) + waiting
@@ -248,17 +293,20 @@
                 same[key] = same.get(key, 0) + 1
         return cpus, same
 
-    def _poorest(self, type_: str, cpus: dict[ShareNo, float],
-                 same: dict[tuple[ShareNo, str], int]) -> ShareNo:
+    def _poorest(
+        self, type_: str, cpus: dict[ShareNo, float], same: dict[tuple[ShareNo, str], int]
+    ) -> ShareNo:
         """The share that a machine without one goes to: least for what it wants."""
-        return min(self.shares.all(), key=lambda s: (cpus[s] / self._wanted(s),
-                                                     same.get((s, type_), 0), s))
+        return min(
+            self.shares.all(), key=lambda s: (cpus[s] / self._wanted(s), same.get((s, type_), 0), s)
+        )
 
     def release_leaving(self) -> None:
         later, self._drop_later = self._drop_later, []
         self._drop_records(later)
-        leaving = [id for id, r in self.fleet.records.items()
-                   if r.leaving and id not in self._releasing]
+        leaving = [
+            id for id, r in self.fleet.records.items() if r.leaving and id not in self._releasing
+        ]
         if leaving:
             self._release(leaving[:MAX_RELEASE])
 
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -54,8 +54,18 @@
 class Job:
     """One accepted job: what the state service says of it."""
 
-    __slots__ = ("accepted", "cancelled", "done_bits", "done_count", "size", "spec", "stage",
-                 "stamp", "submitted", "uid")
+    __slots__ = (
+        "accepted",
+        "cancelled",
+        "done_bits",
+        "done_count",
+        "size",
+        "spec",
+        "stage",
+        "stamp",
+        "submitted",
+        "uid",
+    )
 
     def __init__(self, spec: JobSpec, stamp: Stamp) -> None:
         self.uid = JobId(spec.uid)
@@ -144,8 +154,9 @@
         del self._open[uid]
         return job
 
-    def apply_page(self, uid: JobId, page: int, value: dict[str, Any],
-                   length: int = PAGE_BITS) -> None:
+    def apply_page(
+        self, uid: JobId, page: int, value: dict[str, Any], length: int = PAGE_BITS
+    ) -> None:
         bits = int(str(value["bits"]), 16) << (page * length)
         job = self._jobs.get(uid)
         if job is None:
@@ -162,6 +173,7 @@
 def storable(spec: JobSpec, types: Collection[str], most: int) -> JobSpec | None:
     """The submission as it fits a value of `most` bytes; None: it can't. Types that there are
     none of, and long names that only have to be told apart, can go."""
+
     def fits(spec: JobSpec) -> bool:
         return json_size(job_value(spec, "accepted")) + STAGE_ROOM <= most
 
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -47,17 +47,40 @@
 
     def value(self, **changes: Any) -> dict[str, Any]:
         record = self._replace(**changes)
-        return {"share": record.share, "type": record.type, "zone": record.zone,
-                "spot": record.spot, "leaving": record.leaving}
+        return {
+            "share": record.share,
+            "type": record.type,
+            "zone": record.zone,
+            "spot": record.spot,
+            "leaving": record.leaving,
+        }
 
 
 class Placement:
-    __slots__ = ("attempt", "cause", "commanded", "do_token", "fence", "forced", "given",
-                 "grace_s", "job", "machine", "ran_since", "seen", "since", "size", "stage",
-                 "stage_before", "stopping", "task")
-
-    def __init__(self, task: TaskId, attempt: Attempt, machine: Machine, job: Job | None,
-                 now: Instant) -> None:
+    __slots__ = (
+        "attempt",
+        "cause",
+        "commanded",
+        "do_token",
+        "fence",
+        "forced",
+        "given",
+        "grace_s",
+        "job",
+        "machine",
+        "ran_since",
+        "seen",
+        "since",
+        "size",
+        "stage",
+        "stage_before",
+        "stopping",
+        "task",
+    )
+
+    def __init__(
+        self, task: TaskId, attempt: Attempt, machine: Machine, job: Job | None, now: Instant
+    ) -> None:
         self.task = task
         self.attempt = attempt
         self.machine = machine
@@ -83,12 +106,47 @@
 
 
 class Machine:
-    __slots__ = ("added", "addr", "asked_at", "born", "counter", "did_well", "do_after", "do_open",
-                 "doubt", "doubted_at", "draining_until", "empty_since", "errors",
-                 "expired_session", "fetches", "full_until", "heard", "id", "images",
-                 "last_answer", "lasting", "moving", "notice_until", "placements", "probing",
-                 "quarantined_until", "ranks", "reached", "record", "report_number", "room", "seq",
-                 "session", "settled", "share", "token_seen", "type", "up_since", "used")
+    __slots__ = (
+        "added",
+        "addr",
+        "asked_at",
+        "born",
+        "counter",
+        "did_well",
+        "do_after",
+        "do_open",
+        "doubt",
+        "doubted_at",
+        "draining_until",
+        "empty_since",
+        "errors",
+        "expired_session",
+        "fetches",
+        "full_until",
+        "heard",
+        "id",
+        "images",
+        "last_answer",
+        "lasting",
+        "moving",
+        "notice_until",
+        "placements",
+        "probing",
+        "quarantined_until",
+        "ranks",
+        "reached",
+        "record",
+        "report_number",
+        "room",
+        "seq",
+        "session",
+        "settled",
+        "share",
+        "token_seen",
+        "type",
+        "up_since",
+        "used",
+    )
 
     def __init__(self, id: MachineId, record: Record, holding: Holding, now: Instant) -> None:
         self.id = id
@@ -188,5 +246,9 @@
         """Something is on it, or may be, or may yet come to be."""
         # One that was never heard holds nothing: it must be possible to return what never came
         # up, or it is paid for ever.
-        return (bool(self.placements) or self.do_open or not self.settled
-                or (self.doubted and self.heard >= 0))
+        return (
+            bool(self.placements)
+            or self.do_open
+            or not self.settled
+            or (self.doubted and self.heard >= 0)
+        )
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -59,8 +59,9 @@
 
 
 class Fleet:
-    def __init__(self, cx: Context, store: Store, shares: Shares, jobs: Jobs,
-                 watcher: Watcher) -> None:
+    def __init__(
+        self, cx: Context, store: Store, shares: Shares, jobs: Jobs, watcher: Watcher
+    ) -> None:
         self.cx = cx
         self.store = store
         self.shares = shares
@@ -92,15 +93,16 @@
     # --- records and the catalogue -------------------------------------------------------
 
     def _catalog_changed(self, key: str, value: Any, stamp: Stamp) -> None:
-        rows = [row for page in (CATALOG, *self.store.keys(TYPES))
-                for row in self.store.get(page) or ()]
+        rows = [
+            row for page in (CATALOG, *self.store.keys(TYPES)) for row in self.store.get(page) or ()
+        ]
         self.types = {t[0]: msgspec.convert(t, MachineType) for t in rows}
         for machine in self.machines.values():
             machine.set_type(self.types.get(machine.record.type))
         self.watcher.changed()
 
     def _record_changed(self, key: str, value: Any, stamp: Stamp) -> None:
-        id = MachineId(key[len(MACHINE):])
+        id = MachineId(key[len(MACHINE) :])
         if value is None or value.get("gone"):
             # A late copy of a report must not bring back what was returned.
             if value is None:
@@ -111,8 +113,14 @@
             self.addrs.pop(id, None)
             self._drop(id, "released")
             return
-        record = Record(ShareNo(value["share"]), value["type"], value["zone"],
-                        bool(value["spot"]), bool(value["leaving"]), stamp)
+        record = Record(
+            ShareNo(value["share"]),
+            value["type"],
+            value["zone"],
+            bool(value["spot"]),
+            bool(value["leaving"]),
+            stamp,
+        )
         self.records[id] = record
         machine = self.machines.get(id)
         holding = self.shares.mine.get(record.share)
@@ -136,9 +144,14 @@
 
     def state_of(self, machine: Machine) -> dict[str, Any]:
         """What the next owner needs to command the machine before its next report."""
-        return {"machine": machine.id, "addr": machine.addr, "session": machine.session,
-                "seq": machine.seq, "token": machine.token_seen,
-                "images": list(machine.images.items())}
+        return {
+            "machine": machine.id,
+            "addr": machine.addr,
+            "session": machine.session,
+            "seq": machine.seq,
+            "token": machine.token_seen,
+            "images": list(machine.images.items()),
+        }
 
     def given(self, state: dict[str, Any]) -> None:
         """A former owner passes a machine's state on, perhaps before its record is seen."""
@@ -358,8 +371,12 @@
         waits for an answer, unlike that of a copy."""
         machine = self.machines.get(report.machine)
         number = (report.session, report.seq)
-        if (machine is None or report.session != machine.session or machine.doubted
-                or not machine.report_number < number <= (machine.session, machine.seq)):
+        if (
+            machine is None
+            or report.session != machine.session
+            or machine.doubted
+            or not machine.report_number < number <= (machine.session, machine.seq)
+        ):
             return False
         machine.report_number = number
         return True
@@ -386,8 +403,10 @@
         """A worker sends its next report only after it had the answer to the one before, or
         gave it up: orders of that answer that left no trace did not arrive."""
         listed = {(entry.task, entry.attempt) for entry in report.tasks}
-        if any(0 <= p.given < report.seq and not p.seen and key not in listed
-               for key, p in machine.placements.items()):
+        if any(
+            0 <= p.given < report.seq and not p.seen and key not in listed
+            for key, p in machine.placements.items()
+        ):
             self.doubt(machine)
 
     def doubt(self, machine: Machine, since: Instant | None = None) -> None:
@@ -401,17 +420,26 @@
         """A report came by way of a peer, or after a pause (last heard `before`) in which the
         worker tried others: so an answer may have failed to reach it."""
         now = self.cx.now
-        pause = max(0.95 * (REPORT_PATIENCE_S + RETRY_AFTER_S),
-                    1.25 * self.cx.platform.settings.workers.report_s + 0.75)
-        if ((relayed or now - before > pause) and before >= 0
-                and now - machine.reached > REPORT_PATIENCE_S):
+        pause = max(
+            0.95 * (REPORT_PATIENCE_S + RETRY_AFTER_S),
+            1.25 * self.cx.platform.settings.workers.report_s + 0.75,
+        )
+        if (
+            (relayed or now - before > pause)
+            and before >= 0
+            and now - machine.reached > REPORT_PATIENCE_S
+        ):
             self.doubt(machine, max(before, machine.reached))
 
     def ask(self, machine: Machine) -> None:
         """Ask the worker itself: no report is believed over its live answer."""
         now = self.cx.now
-        if (machine.probing or not machine.addr or now < machine.asked_at + 1.0
-                or 2 * self._open_doubted >= self._most_open):
+        if (
+            machine.probing
+            or not machine.addr
+            or now < machine.asked_at + 1.0
+            or 2 * self._open_doubted >= self._most_open
+        ):
             return
         machine.probing = True
         self._opened(True)
@@ -430,8 +458,11 @@
         """How long a machine may be silent, or heard without being reached: a worker cut off
         from here needs a lost report and a try elsewhere to be heard by way of a peer."""
         workers = self.cx.platform.settings.workers
-        return max(2.5 * workers.report_s, 0.45 * workers.lease_s,
-                   min(REPORT_PATIENCE_S + 1.75 + 1.25 * workers.report_s, 0.7 * workers.lease_s))
+        return max(
+            2.5 * workers.report_s,
+            0.45 * workers.lease_s,
+            min(REPORT_PATIENCE_S + 1.75 + 1.25 * workers.report_s, 0.7 * workers.lease_s),
+        )
 
     def unreached_s(self, machine: Machine) -> float:
         """For how long has it been heard without showing that it is reached?"""
@@ -496,8 +527,12 @@
                 # Only in answers to reports: one report is in flight at a time, so no older
                 # answer can still carry an order to start this attempt. The same must hold
                 # for direct commands, or the attempt would start once more.
-                if (answering and not machine.do_open and not machine.doubted
-                        and self._stored(placement)):
+                if (
+                    answering
+                    and not machine.do_open
+                    and not machine.doubted
+                    and self._stored(placement)
+                ):
                     # A copy of a command that was carried out would start it once more, so
                     # the answer that clears it carries a token above that command's.
                     if placement.do_token >= machine.token:
@@ -505,8 +540,9 @@
                     orders.append(Order("forget", placement.task, placement.attempt))
             elif placement.stopping:
                 if placement.seen and (placement.stage != "saving" or placement.forced):
-                    orders.append(Order("stop", placement.task, placement.attempt,
-                                        placement.grace_s))
+                    orders.append(
+                        Order("stop", placement.task, placement.attempt, placement.grace_s)
+                    )
             elif not placement.seen:
                 orders.append(Order("start", placement.task, placement.attempt))
                 if answering and placement.given < 0:
@@ -579,8 +615,9 @@
         doubted = machine.doubted
         self._opened(doubted)
         token, session, since = machine.token, machine.session, machine.known
-        starts = [p for p in machine.placements.values()
-                  if not p.seen and not p.stopping and p.active]
+        starts = [
+            p for p in machine.placements.values() if not p.seen and not p.stopping and p.active
+        ]
         first = [p for p in starts if not p.commanded]
         for placement in starts:
             placement.commanded = True
@@ -611,8 +648,9 @@
                 if placement.given < 0 and not placement.seen and placement.active:
                     self._remove(placement, "unsent")
 
-        self.cx.out.append(Command(done, machine.addr, token, session, orders,
-                                   self.shares.authority.end()))
+        self.cx.out.append(
+            Command(done, machine.addr, token, session, orders, self.shares.authority.end())
+        )
 
     # --- time ----------------------------------------------------------------------------
 
@@ -625,14 +663,18 @@
             for machine in self.machines.values():
                 # Without authority nothing is sure: another may have answered it meanwhile, as
                 # when this process stood still.
-                if (machine.last_answer < oldest and (machine.placements or not machine.settled)
-                        and self.shares.may_command(machine.share.number)):
+                if (
+                    machine.last_answer < oldest
+                    and (machine.placements or not machine.settled)
+                    and self.shares.may_command(machine.share.number)
+                ):
                     self._expire(machine)
         for holding in self.shares.mine.values():
             if not holding.settled and all(m.settled for m in self.of_share(holding.number)):
                 holding.settled = True
-                self.cx.log("info", f"share {holding.number} settled after"
-                                    f" {now - holding.since:.2f} s")
+                self.cx.log(
+                    "info", f"share {holding.number} settled after {now - holding.since:.2f} s"
+                )
                 self.watcher.changed()
 
     def _expire(self, machine: Machine) -> None:
@@ -651,14 +693,19 @@
     def silent(self) -> list[str]:
         """Machines of the shares owned here whose reports are overdue."""
         limit = 1.25 * self.cx.platform.settings.workers.report_s + 1.5
-        return [m.id for m in self.machines.values()
-                if self.cx.now - max(m.heard, m.share.since, m.added) > limit]
+        return [
+            m.id
+            for m in self.machines.values()
+            if self.cx.now - max(m.heard, m.share.since, m.added) > limit
+        ]
 
     def all_heard(self, share: ShareNo) -> bool:
         """Are all machines of the share that ever came up heard, and reached?"""
         limit = 1.25 * self.cx.platform.settings.workers.report_s + 1.5
-        return all(m.heard < 0 or (self.silent_s(m) <= limit and not m.doubted)
-                   for m in self.of_share(share))
+        return all(
+            m.heard < 0 or (self.silent_s(m) <= limit and not m.doubted)
+            for m in self.of_share(share)
+        )
 
     def usable(self, machine: Machine) -> bool:
         """May new tasks go there?"""
--- a/runcourse/core/moves.py
+++ b/runcourse/core/moves.py
@@ -18,8 +18,9 @@
 
 
 class Moves:
-    def __init__(self, cx: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work],
-                 gangs: Gangs) -> None:
+    def __init__(
+        self, cx: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work], gangs: Gangs
+    ) -> None:
         self.cx = cx
         self.shares = shares
         self.fleet = fleet
@@ -41,21 +42,26 @@
         there, and once only replicas are left they move."""
         lasting = [m for m in self.fleet.of_share(share) if self.fleet.usable(m) and m.lasting > 0]
         lasting.sort(key=lambda m: (m.lasting, m.id))
-        for machine in lasting[:min(number, len(lasting) - 1)]:
+        for machine in lasting[: min(number, len(lasting) - 1)]:
             machine.draining_until = Instant(self.cx.now + DRAIN_S)
             self._draining.append(machine)
 
-    def vacate(self, share: ShareNo, rank: int, size: Size,
-               serves: Callable[[Machine], bool]) -> Machine | None:
+    def vacate(
+        self, share: ShareNo, rank: int, size: Size, serves: Callable[[Machine], bool]
+    ) -> Machine | None:
         """Stop all that runs on one machine, if all of it ranks lower; least work lost first.
         Nothing new goes there until it has changed its share."""
         now = self.cx.now
         best: tuple[float, str, Machine] | None = None
         for machine in self.fleet.of_share(share):
             active = [p for p in machine.placements.values() if p.active]
-            if (not self.fleet.usable(machine) or not serves(machine) or machine.type is None
-                    or not size.fits(machine.type.size)
-                    or any(p.job is None or p.job.spec.rank <= rank for p in active)):
+            if (
+                not self.fleet.usable(machine)
+                or not serves(machine)
+                or machine.type is None
+                or not size.fits(machine.type.size)
+                or any(p.job is None or p.job.spec.rank <= rank for p in active)
+            ):
                 continue
             lost = sum(self.gangs.lost(p) for p in active)
             if best is None or (lost, machine.id) < best[:2]:
@@ -76,8 +82,11 @@
         for machine in self.fleet.of_share(share):
             if machine.lasting > 0 or not self.fleet.usable(machine) or not serves(machine):
                 continue
-            left = [max(0.0, p.job.spec.estimate_s - (now - p.ran_since if p.ran_since else 0.0))
-                    for p in machine.placements.values() if p.active and p.job is not None]
+            left = [
+                max(0.0, p.job.spec.estimate_s - (now - p.ran_since if p.ran_since else 0.0))
+                for p in machine.placements.values()
+                if p.active and p.job is not None
+            ]
             found.append((max(left, default=0.0) * max(len(left), 1), machine.id, machine))
         return [machine for _, _, machine in sorted(found, key=lambda f: f[:2])]
 
@@ -86,19 +95,34 @@
         a moment only, and the empty machine can be returned."""
         now = self.cx.now
         placements = list(machine.placements.values())
-        if not all(p.job is not None and p.job.spec.service and p.stage == "running"
-                   and not p.stopping and now - p.ran_since > SETTLED_S for p in placements):
+        if not all(
+            p.job is not None
+            and p.job.spec.service
+            and p.stage == "running"
+            and not p.stopping
+            and now - p.ran_since > SETTLED_S
+            for p in placements
+        ):
             return
-        machines = [m for m in self.fleet.of_share(machine.share.number)
-                    if m is not machine and self.fleet.usable(m) and m.placements]
+        machines = [
+            m
+            for m in self.fleet.of_share(machine.share.number)
+            if m is not machine and self.fleet.usable(m) and m.placements
+        ]
         rooms = {m.id: m.room for m in machines}
         for placement in placements:
             assert placement.job is not None
-            target = next((m for m in machines
-                           if placement.job.spec.image in m.images
-                           and permits(placement.job, m)
-                           and self._moves_to(placement, m)
-                           and placement.size.fits(rooms[m.id])), None)
+            target = next(
+                (
+                    m
+                    for m in machines
+                    if placement.job.spec.image in m.images
+                    and permits(placement.job, m)
+                    and self._moves_to(placement, m)
+                    and placement.size.fits(rooms[m.id])
+                ),
+                None,
+            )
             if target is None:
                 return
             rooms[target.id] = rooms[target.id].minus(placement.size)
@@ -126,9 +150,16 @@
                 remaining = job.spec.estimate_s - (now - placement.ran_since)
                 if remaining < left:
                     continue
-            target = next((m for m in others if permits(job, m)
-                           and self._moves_to(placement, m)
-                           and placement.size.fits(rooms[m.id])), None)
+            target = next(
+                (
+                    m
+                    for m in others
+                    if permits(job, m)
+                    and self._moves_to(placement, m)
+                    and placement.size.fits(rooms[m.id])
+                ),
+                None,
+            )
             saving = job.spec.checkpoint_s > 0 and left < job.spec.save_s + 2.0
             if target is None and not saving:
                 continue
@@ -154,8 +185,10 @@
             if machine.notice_until is not None and self.shares.may_command(machine.share.number):
                 self._leave(machine)
         for machine in list(self._draining):
-            if (self.cx.now >= machine.draining_until
-                    or self.fleet.machines.get(machine.id) is not machine):
+            if (
+                self.cx.now >= machine.draining_until
+                or self.fleet.machines.get(machine.id) is not machine
+            ):
                 self._draining.remove(machine)
             elif self.shares.may_command(machine.share.number):
                 self._move_away(machine)
--- a/runcourse/core/needs.py
+++ b/runcourse/core/needs.py
@@ -17,8 +17,22 @@
 class Need:
     """Waiting tasks of one shape in one share, or those of one gang."""
 
-    __slots__ = ("age", "asked", "block", "count", "hire", "lacks", "rank", "raw", "room", "shut",
-                 "size", "spot", "types", "zone")
+    __slots__ = (
+        "age",
+        "asked",
+        "block",
+        "count",
+        "hire",
+        "lacks",
+        "rank",
+        "raw",
+        "room",
+        "shut",
+        "size",
+        "spot",
+        "types",
+        "zone",
+    )
 
     def __init__(self, raw: dict[str, Any]) -> None:
         self.raw = raw
@@ -103,10 +117,24 @@
         used += m.used.cpus
         machines[str(m.id)] = [round(heard, 2), round(idle, 2), m.used.cpus]
     return {
-        "t": "load", "share": share, "used": used, "machines": machines,
-        "needs": [{"size": list(k[0]), "rank": k[1], "spot": k[2],
-                   "types": list(k[3]) if k[3] is not None else None, "zone": k[4],
-                   "shut": list(k[5]), "block": bool(k[6]),
-                   "room": _room(share, fleet, Size(*k[0]), k[2]) if k[6] else {},
-                   "n": n, "hire": hires[k], "age": ages[k]} for k, n in needs.items()],
+        "t": "load",
+        "share": share,
+        "used": used,
+        "machines": machines,
+        "needs": [
+            {
+                "size": list(k[0]),
+                "rank": k[1],
+                "spot": k[2],
+                "types": list(k[3]) if k[3] is not None else None,
+                "zone": k[4],
+                "shut": list(k[5]),
+                "block": bool(k[6]),
+                "room": _room(share, fleet, Size(*k[0]), k[2]) if k[6] else {},
+                "n": n,
+                "hire": hires[k],
+                "age": ages[k],
+            }
+            for k, n in needs.items()
+        ],
     }
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -47,25 +47,35 @@
 
 
 class Node:
-    def __init__(self, platform: Platform, operators: Operators, rng: random.Random,
-                 now: Instant) -> None:
+    def __init__(
+        self, platform: Platform, operators: Operators, rng: random.Random, now: Instant
+    ) -> None:
         self.cx = cx = Context(platform, operators, rng, now=now, started=now)
         self.store = Store(cx)
         self.jobs = Jobs()
         self.versions = Versions(cx, self.store)
-        self.authority = Authority(cx, self.store, self.jobs, self.versions, self._on_live,
-                                   self._on_lost, self._told_cancelled)
+        self.authority = Authority(
+            cx,
+            self.store,
+            self.jobs,
+            self.versions,
+            self._on_live,
+            self._on_lost,
+            self._told_cancelled,
+        )
         self.shares = Shares(cx, self.store, self.authority, self._on_gain, self._on_loss)
         self.quota = Quota(cx)
         self.scheduler = Scheduler(cx, self.store, self.shares, self.jobs, self.quota)
         self.fleet = Fleet(cx, self.store, self.shares, self.jobs, self.scheduler)
         self.scheduler.join(self.fleet)
         self.shares.all_heard = self.fleet.all_heard
-        self.rental = Rental(cx, self.store, self.authority, self.shares, self.fleet,
-                             self.scheduler, self.versions)
+        self.rental = Rental(
+            cx, self.store, self.authority, self.shares, self.fleet, self.scheduler, self.versions
+        )
         self.confirmations = Confirmations(cx, self.store, self.authority, self.shares, self.jobs)
-        self.users = Users(cx, self.store, self.shares, self.jobs, self.quota, self.fleet,
-                           self.confirmations)
+        self.users = Users(
+            cx, self.store, self.shares, self.jobs, self.quota, self.fleet, self.confirmations
+        )
         self.store.listen(JOB, self._job_changed)
         self.store.listen(DONE, self._page_changed)
         self.store.listen(PART, self._part_changed)
@@ -112,8 +122,11 @@
                 try:
                     self._peer_said(event.member, event.message)
                 except (KeyError, TypeError, ValueError, msgspec.ValidationError) as problem:
-                    self.cx.log("warning", f"peer {event.member}: malformed message:"
-                                           f" {type(problem).__name__} {problem}")
+                    self.cx.log(
+                        "warning",
+                        f"peer {event.member}: malformed message:"
+                        f" {type(problem).__name__} {problem}",
+                    )
             case Health():
                 self._health(event)
             case _:
@@ -132,9 +145,18 @@
         now = self.cx.now
         if now >= self._gossip_at + GOSSIP_EVERY_S:
             self._gossip_at = now
-            self.cx.out.append(Say(None, {
-                "t": "hello", "contact": self._contact(), "running": self.fleet.running_counts(),
-                "silent": self.fleet.silent(), "applied": self.store.applied}))
+            self.cx.out.append(
+                Say(
+                    None,
+                    {
+                        "t": "hello",
+                        "contact": self._contact(),
+                        "running": self.fleet.running_counts(),
+                        "silent": self.fleet.silent(),
+                        "applied": self.store.applied,
+                    },
+                )
+            )
             for seen in (self._redirected, self._relaying):
                 for id in [id for id in seen if id not in self.fleet.records]:
                     del seen[id]
@@ -164,7 +186,7 @@
 
     def _job_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         if value is not None:
-            uid = JobId(key[len(JOB):])
+            uid = JobId(key[len(JOB) :])
             self.scheduler.job_changed(self.jobs.apply_job(uid, value, stamp, self.cx.now))
 
     def _told_cancelled(self, uids: list[JobId]) -> None:
@@ -176,12 +198,12 @@
 
     def _page_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         if value is not None:
-            uid, _, page = key[len(DONE):].rpartition("/")
+            uid, _, page = key[len(DONE) :].rpartition("/")
             self.jobs.apply_page(JobId(uid), int(page), value)
 
     def _part_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         if value is not None:
-            uid, _, part = key[len(PART):].rpartition("/")
+            uid, _, part = key[len(PART) :].rpartition("/")
             self.jobs.apply_page(JobId(uid), int(part), value, PART_BITS)
 
     # --- health --------------------------------------------------------------------------
@@ -196,11 +218,13 @@
         now = self.cx.now
         heard = [contact for at, contact in self._peer_contact.values() if at > now - 3.0]
         # Before anybody could notice, a moment's failure is no reason to be taken out.
-        outage = not any(heard) and (1 + len(heard) >= self.cx.majority
-                                     or now < self.store.last_contact + self.authority.ttl)
+        outage = not any(heard) and (
+            1 + len(heard) >= self.cx.majority or now < self.store.last_contact + self.authority.ttl
+        )
         ok = self.store.ready and (self._contact() or outage)
-        self.cx.out.append(Answer(ask.request, 200 if ok else 503,
-                                  {"ok": ok, "member": self.cx.me}))
+        self.cx.out.append(
+            Answer(ask.request, 200 if ok else 503, {"ok": ok, "member": self.cx.me})
+        )
 
     # --- workers -------------------------------------------------------------------------
 
@@ -230,8 +254,9 @@
         if not self.fleet.hear(beat.report):
             if self.fleet.overtaken(beat.report):
                 self.fleet.answered(machine)
-                self._answer(beat, AnswerBeat(beat.request, 200, machine.token,
-                                              until=self.authority.end()))
+                self._answer(
+                    beat, AnswerBeat(beat.request, 200, machine.token, until=self.authority.end())
+                )
             else:
                 self._answer(beat, AnswerBeat(beat.request, 503))
             return
@@ -245,8 +270,9 @@
         self.fleet.answered(machine)
         orders = self.fleet.orders(machine, answering=True)  # may raise the token
         self.fleet.pace(machine)
-        self._answer(beat, AnswerBeat(beat.request, 200, machine.token, orders,
-                                      until=self.authority.end()))
+        self._answer(
+            beat, AnswerBeat(beat.request, 200, machine.token, orders, until=self.authority.end())
+        )
 
     def _reachable(self, member: Member) -> bool:
         heard, _ = self._peer_contact.get(member, (LONG_AGO, False))
@@ -277,16 +303,29 @@
         self._relaying.setdefault(id, now)
         self._relay_no += 1
         self._relays[self._relay_no] = (beat.request, Instant(now + RELAY_TIMEOUT_S))
-        self.cx.out.append(Say(owner, {"t": "beat", "n": self._relay_no,
-                                       "report": msgspec.to_builtins(beat.report)}))
+        self.cx.out.append(
+            Say(
+                owner,
+                {"t": "beat", "n": self._relay_no, "report": msgspec.to_builtins(beat.report)},
+            )
+        )
 
     def _answer(self, beat: Beat, answer: AnswerBeat) -> None:
         if beat.relayed_by is None:
             self.cx.out.append(answer)
         else:
-            self.cx.out.append(Say(beat.relayed_by, {
-                "t": "beaten", "n": beat.request, "status": answer.status,
-                "token": answer.token, "orders": msgspec.to_builtins(answer.orders)}))
+            self.cx.out.append(
+                Say(
+                    beat.relayed_by,
+                    {
+                        "t": "beaten",
+                        "n": beat.request,
+                        "status": answer.status,
+                        "token": answer.token,
+                        "orders": msgspec.to_builtins(answer.orders),
+                    },
+                )
+            )
 
     # --- peers ---------------------------------------------------------------------------
 
@@ -298,8 +337,10 @@
                 self._silent[member] = set(message["silent"])
                 self.confirmations.heard(member, message.get("applied"))
                 self.users.running = {
-                    JobId(uid): n for counts in self._peer_running.values()
-                    for uid, n in counts.items()}
+                    JobId(uid): n
+                    for counts in self._peer_running.values()
+                    for uid, n in counts.items()
+                }
             case "sync":
                 self.store.sync()
             case "cancelled":
@@ -309,8 +350,7 @@
                 if message.get("ask"):
                     self.cx.out.append(Say(member, self.confirmations.knowledge(uid)))
             case "knows":
-                self.confirmations.told(member, JobId(str(message["uid"])),
-                                        bool(message["owner"]))
+                self.confirmations.told(member, JobId(str(message["uid"])), bool(message["owner"]))
             case "vouch?":
                 self.authority.asked(member, message)
             case "vouch":
@@ -329,7 +369,10 @@
                 relay = self._relays.pop(int(message["n"]), None)
                 if relay is not None:
                     orders = tuple(msgspec.convert(o, Order) for o in message["orders"])
-                    self.cx.out.append(AnswerBeat(relay[0], int(message["status"]),
-                                                  Token(int(message["token"])), orders))
+                    self.cx.out.append(
+                        AnswerBeat(
+                            relay[0], int(message["status"]), Token(int(message["token"])), orders
+                        )
+                    )
             case other:
                 self.cx.log("debug", f"peer {member}: unknown message {other!r}")
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -63,5 +63,9 @@
 
     def overdue(self, work: Work) -> bool:
         spec = work.job.spec
-        return (not spec.service and not spec.gang and not work.mistaken
-                and self.cx.now > work.job.submitted + AGED_S)
+        return (
+            not spec.service
+            and not spec.gang
+            and not work.mistaken
+            and self.cx.now > work.job.submitted + AGED_S
+        )
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -52,8 +52,5 @@
 
 def fits_times(task: Size, room: Size) -> int:
     """How many such tasks fit into the room."""
-    counts = [
-        int((have + 1e-9) / need)
-        for need, have in zip(task, room, strict=True) if need > 0
-    ]
+    counts = [int((have + 1e-9) / need) for need, have in zip(task, room, strict=True) if need > 0]
     return max(0, min(counts)) if counts else 1_000_000
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -23,8 +23,16 @@
 
 
 class Preemption:
-    def __init__(self, cx: Context, fleet: Fleet, quota: Quota, order: Order, budget: Budget,
-                 work: Mapping[JobId, Work], gangs: Gangs) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        fleet: Fleet,
+        quota: Quota,
+        order: Order,
+        budget: Budget,
+        work: Mapping[JobId, Work],
+        gangs: Gangs,
+    ) -> None:
         self.cx = cx
         self.fleet = fleet
         self.quota = quota
@@ -39,8 +47,14 @@
     def begin(self) -> None:
         self._hopeless.clear()
 
-    def make_room(self, work: Work, usable: Usable, claimed: set[MachineId],
-                   missing: int, within: float = math.inf) -> int:
+    def make_room(
+        self,
+        work: Work,
+        usable: Usable,
+        claimed: set[MachineId],
+        missing: int,
+        within: float = math.inf,
+    ) -> int:
         """Stop lesser work where the waiting task then fits, and has its image `within`
         seconds; least work lost first. Returns for how many tasks.
 
@@ -52,9 +66,15 @@
         if not self.quota.could_stop(job, guaranteed > 0):
             return 0
         spec = job.spec
-        asks = (spec.rank, spec.spot, spec.types, spec.zone, spec.team if guaranteed > 0 else "",
-                tuple(z for z in work.zones if not zone_open(work, z)),
-                spec.image if within < math.inf else "")
+        asks = (
+            spec.rank,
+            spec.spot,
+            spec.types,
+            spec.zone,
+            spec.team if guaranteed > 0 else "",
+            tuple(z for z in work.zones if not zone_open(work, z)),
+            spec.image if within < math.inf else "",
+        )
         if any(size.fits(job.size) for size in self._hopeless.get(asks, ())):
             return 0
         stopping = self.quota.stopping
@@ -62,8 +82,9 @@
 
         def cost(machine: Machine) -> tuple[float, list[Placement]] | None:
             zone = machine.record.zone
-            if (not zone_open(work, zone, made.get(zone, 0))
-                    or (within < math.inf and fetch_s(job, machine) > within)):
+            if not zone_open(work, zone, made.get(zone, 0)) or (
+                within < math.inf and fetch_s(job, machine) > within
+            ):
                 return None
             found = self.victims(job, machine, guaranteed > 0, stopping)
             if found is None:
@@ -75,9 +96,17 @@
         # Most machines hold nothing that might make way: to go through their tasks costs more.
         above = spec.rank - (guaranteed > 0)
         enough = job.size.cpus - 1e-6
-        pool = self.budget.sample([m for m in usable() if m.id not in claimed
-                                   and m.id not in self.reserved and m.below(above) >= enough
-                                   and permits(job, m)], 4 * missing)
+        pool = self.budget.sample(
+            [
+                m
+                for m in usable()
+                if m.id not in claimed
+                and m.id not in self.reserved
+                and m.below(above) >= enough
+                and permits(job, m)
+            ],
+            4 * missing,
+        )
         self.budget.weigh_tasks(pool)
         for machine in pool:
             found = cost(machine)
@@ -117,16 +146,24 @@
         asks = (job.uid, n)
         if asks in self._hopeless:
             return
-        pool = [m for m in usable() if m.id not in claimed and permits(job, m)
-                and self.reserved.get(m.id, job.uid) == job.uid
-                and zone_open(work, m.record.zone)
-                and m.below(job.spec.rank - guaranteed) >= job.size.cpus - 1e-6]
+        pool = [
+            m
+            for m in usable()
+            if m.id not in claimed
+            and permits(job, m)
+            and self.reserved.get(m.id, job.uid) == job.uid
+            and zone_open(work, m.record.zone)
+            and m.below(job.spec.rank - guaranteed) >= job.size.cpus - 1e-6
+        ]
         self.budget.weigh_tasks(pool)
         zones: dict[str, list[tuple[float, str, Machine, int]]] = {}
         for machine in pool:
             count = n
-            while count and (found := self.victims(job, machine, guaranteed, self.quota.stopping,
-                                                   count)) is None:
+            while (
+                count
+                and (found := self.victims(job, machine, guaranteed, self.quota.stopping, count))
+                is None
+            ):
                 count //= 2
             if count:
                 lost = sum(self.gangs.lost(v) for v in found or ()) + fetch_s(job, machine)
@@ -148,11 +185,18 @@
             return
         for machine, count in best[1]:
             claimed.add(machine.id)
-            self._stop(self.victims(job, machine, guaranteed, self.quota.stopping, count) or [],
-                       job)
+            self._stop(
+                self.victims(job, machine, guaranteed, self.quota.stopping, count) or [], job
+            )
 
-    def victims(self, job: Job, machine: Machine, guaranteed: bool,
-                 stopping: dict[Team, Size], count: int = 1) -> list[Placement] | None:
+    def victims(
+        self,
+        job: Job,
+        machine: Machine,
+        guaranteed: bool,
+        stopping: dict[Team, Size],
+        count: int = 1,
+    ) -> list[Placement] | None:
         """What to stop on the machine so that so many tasks of the job fit; None: it can't."""
         size = Size(*(count * amount for amount in job.size))
         room = machine.room
@@ -162,8 +206,7 @@
                 room = room.plus(placement.size)
         victims: list[Placement] = []
         more = dict(stopping)
-        for placement in sorted((p for p in active if not p.stopping),
-                                key=self.gangs.lost):
+        for placement in sorted((p for p in active if not p.stopping), key=self.gangs.lost):
             if size.fits(room):
                 break
             if placement.job is None:
@@ -179,8 +222,9 @@
             if work is not None and self.cx.now < work.aged_until:
                 continue
             if placement.job.spec.rank <= job.spec.rank and (
-                    self.cx.now < placement.since + YOUNG_S
-                    or (work is not None and self.order.overdue(work))):
+                self.cx.now < placement.since + YOUNG_S
+                or (work is not None and self.order.overdue(work))
+            ):
                 continue
             if self.quota.may_stop(job, guaranteed, placement, more.get(team, NOTHING)):
                 more[team] = more.get(team, NOTHING).plus(placement.size)
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -64,8 +64,10 @@
         if limits is None:
             return f"unknown team {job.spec.team}"
         tasks = job.spec.tasks if job.spec.service or job.spec.gang else 1
-        if (job.spec.cpus * tasks > limits.cpus_max + SLACK
-                or job.spec.gpus * tasks > limits.gpus_max + SLACK):
+        if (
+            job.spec.cpus * tasks > limits.cpus_max + SLACK
+            or job.spec.gpus * tasks > limits.gpus_max + SLACK
+        ):
             return f"more than the limit of team {job.spec.team}"
         return None
 
@@ -77,8 +79,10 @@
         if limits is None:
             return False
         held = self.held(team).plus(unlocated)
-        return (held.cpus + job.size.cpus <= limits.cpus_max + SLACK
-                and held.gpus + job.size.gpus <= limits.gpus_max + SLACK)
+        return (
+            held.cpus + job.size.cpus <= limits.cpus_max + SLACK
+            and held.gpus + job.size.gpus <= limits.gpus_max + SLACK
+        )
 
     def guaranteed(self, job: Job) -> bool:
         """Would one more task of the job still lie within its team's guarantee?"""
@@ -87,8 +91,10 @@
         if limits is None or (limits.cpus <= 0 and limits.gpus <= 0):
             return False
         held = self.held(team)
-        return (held.cpus + job.size.cpus <= limits.cpus + SLACK
-                and held.gpus + job.size.gpus <= limits.gpus + SLACK)
+        return (
+            held.cpus + job.size.cpus <= limits.cpus + SLACK
+            and held.gpus + job.size.gpus <= limits.gpus + SLACK
+        )
 
     def guaranteed_count(self, job: Job) -> int:
         """How many more tasks of the job lie within its team's guarantee?"""
@@ -96,8 +102,10 @@
         if limits is None or (limits.cpus <= 0 and limits.gpus <= 0):
             return 0
         held = self.held(Team(job.spec.team))
-        return fits_times(Size(job.size.cpus, 0.0, job.size.gpus),
-                          Size(limits.cpus - held.cpus, 0.0, limits.gpus - held.gpus))
+        return fits_times(
+            Size(job.size.cpus, 0.0, job.size.gpus),
+            Size(limits.cpus - held.cpus, 0.0, limits.gpus - held.gpus),
+        )
 
     def beyond(self, team: Team, stopping: Size = NOTHING) -> bool:
         """Does the team hold more than its guarantee, even without what is being stopped?"""
@@ -112,11 +120,15 @@
         rank = waiting.spec.rank
         if any(n > 0 and r > rank for r, n in self._ranks.items()):
             return True
-        return (guaranteed and self._ranks.get(rank, 0) > 0
-                and any(team != waiting.spec.team and self.beyond(team) for team in self.teams))
-
-    def may_stop(self, waiting: Job, guaranteed: bool, victim: Placement,
-                 stopping: Size = NOTHING) -> bool:
+        return (
+            guaranteed
+            and self._ranks.get(rank, 0) > 0
+            and any(team != waiting.spec.team and self.beyond(team) for team in self.teams)
+        )
+
+    def may_stop(
+        self, waiting: Job, guaranteed: bool, victim: Placement, stopping: Size = NOTHING
+    ) -> bool:
         """PROTOCOL's "Preemption": a higher rank, or a guarantee against borrowed room.
 
         It would let a guarantee stop work of any rank; higher ranks are spared all the same,
@@ -127,7 +139,10 @@
             return False
         if job.spec.rank > waiting.spec.rank:
             return True
-        return (guaranteed and job.spec.rank == waiting.spec.rank
-                and not (job.spec.service and not waiting.spec.service)
-                and job.spec.team != waiting.spec.team
-                and self.beyond(Team(job.spec.team), stopping))
+        return (
+            guaranteed
+            and job.spec.rank == waiting.spec.rank
+            and not (job.spec.service and not waiting.spec.service)
+            and job.spec.team != waiting.spec.team
+            and self.beyond(Team(job.spec.team), stopping)
+        )
--- a/runcourse/core/rental.py
+++ b/runcourse/core/rental.py
@@ -38,7 +38,6 @@
 BOOTS_SEEN = 12  # of each type, the newest
 
 
-
 def _in_turn(shares: list[ShareNo]) -> list[ShareNo]:
     """The same shares, dealt so that any beginning of the list holds some of each."""
     seen: dict[ShareNo, int] = {}
@@ -50,8 +49,16 @@
 
 
 class Rental:
-    def __init__(self, cx: Context, store: Store, authority: Authority, shares: Shares,
-                 fleet: Fleet, scheduler: Scheduler, versions: Versions) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        store: Store,
+        authority: Authority,
+        shares: Shares,
+        fleet: Fleet,
+        scheduler: Scheduler,
+        versions: Versions,
+    ) -> None:
         self.cx = cx
         self.versions = versions
         self.store = store
@@ -60,8 +67,9 @@
         self.fleet = fleet
         self.scheduler = scheduler
         self.loads: dict[ShareNo, Load] = {}
-        self.inventory = Inventory(cx, store, shares, fleet, self.loads, lambda: self.leading,
-                                   self.leader, self.guard)
+        self.inventory = Inventory(
+            cx, store, shares, fleet, self.loads, lambda: self.leading, self.leader, self.guard
+        )
         self.yielding = Yielding(cx, store, shares, fleet, scheduler)
         self.balance = Balance(cx, shares, fleet, self.loads, self.yielding)
         self._hires = 0
@@ -97,17 +105,25 @@
         return str(value["member"]) if value else None
 
     def _claim(self) -> None:
-        if (self._claiming or not self.authority.live or self.authority.grant is None
-                or self.store.get(LEADER) or self.cx.now >= self.authority.until):
+        if (
+            self._claiming
+            or not self.authority.live
+            or self.authority.grant is None
+            or self.store.get(LEADER)
+            or self.cx.now >= self.authority.until
+        ):
             return
         self._claiming = True
 
         def done(result: str, stamp: Stamp) -> None:
             self._claiming = False
 
-        self.store.commit([(LEADER, ABSENT)],
-                          [(LEADER, {"member": self.cx.me, "inc": self.authority.inc},
-                            self.authority.grant)], done, Store.URGENT)
+        self.store.commit(
+            [(LEADER, ABSENT)],
+            [(LEADER, {"member": self.cx.me, "inc": self.authority.inc}, self.authority.grant)],
+            done,
+            Store.URGENT,
+        )
 
     def guard(self) -> tuple[str, int]:
         return (LEADER, int(self.store.stamp(LEADER)))
@@ -165,12 +181,14 @@
         rows = [[*t[:9], list(t.zones)] for t in types]
         pages = self._catalog_pages(rows)
         changes: list[tuple[str, Any, int | None]] = [
-            (key, page, None) for key, page in pages.items() if page != self.store.get(key)]
+            (key, page, None) for key, page in pages.items() if page != self.store.get(key)
+        ]
         changes += [(key, None, None) for key in self.store.keys(TYPES) if key not in pages]
         size = self.cx.limits.txn_ops
         for n in range(0, len(changes), size):
-            self.store.commit([self.guard()], changes[n:n + size],
-                              lambda result, stamp: None, Store.LATER)
+            self.store.commit(
+                [self.guard()], changes[n : n + size], lambda result, stamp: None, Store.LATER
+            )
 
     def _catalog_pages(self, rows: list[list[Any]]) -> dict[str, list[list[Any]]]:
         """The catalogue as it goes into values; the former version reads the first alone."""
@@ -210,7 +228,8 @@
         self._cpus, _ = self.inventory.counts()
         booting: dict[ShareNo, dict[Place, float]] = {s: {} for s in self.shares.all()}
         idle: dict[ShareNo, list[tuple[float, MachineId, Record]]] = {
-            s: [] for s in self.shares.all()}
+            s: [] for s in self.shares.all()
+        }
         for id, record in self.fleet.records.items():
             type_ = self.fleet.types.get(record.type)
             load = self.loads.get(record.share)
@@ -280,10 +299,16 @@
 
     def _leave_block(self, need: Need, left: dict[Place, float]) -> None:
         """A gang's need is met in one zone, by what is free there and what comes up there."""
-        zones = {zone for type_ in self.fleet.types.values()
-                 for zone in type_.zones or self.cx.platform.settings.zones}
-        need.lacks = {zone: need.hire - need.room.get(zone, 0) for zone in sorted(zones)
-                      if zone not in need.shut and need.zone in (None, zone)}
+        zones = {
+            zone
+            for type_ in self.fleet.types.values()
+            for zone in type_.zones or self.cx.platform.settings.zones
+        }
+        need.lacks = {
+            zone: need.hire - need.room.get(zone, 0)
+            for zone in sorted(zones)
+            if zone not in need.shut and need.zone in (None, zone)
+        }
         for place, machines in left.items():
             if machines > 0 and place[1] in need.lacks and serves(need, *place):
                 each = fits_times(need.size, self.fleet.types[place[0]].size)
@@ -361,18 +386,20 @@
             for n in range(0, len(shares), MAX_HIRE):
                 if len(self._pending_hires) >= most:
                     return
-                self._hire(place, shares[n:n + MAX_HIRE])
+                self._hire(place, shares[n : n + MAX_HIRE])
 
-    def _one_zone(self, share: ShareNo, need: Need,
-                  options: list[tuple[float, MachineType, str, bool]]
-                  ) -> list[tuple[float, MachineType, str, bool]]:
+    def _one_zone(
+        self, share: ShareNo, need: Need, options: list[tuple[float, MachineType, str, bool]]
+    ) -> list[tuple[float, MachineType, str, bool]]:
         """A whole gang's machines are hired where it lacks least, then where the share has few."""
         counts: dict[str, int] = {}
         for record in self.fleet.records.values():
             if record.share == share:
                 counts[record.zone] = counts.get(record.zone, 0) + 1
-        zone = min({o[2] for o in options},
-                   key=lambda z: (need.lacks.get(z, need.hire), counts.get(z, 0), z))
+        zone = min(
+            {o[2] for o in options},
+            key=lambda z: (need.lacks.get(z, need.hire), counts.get(z, 0), z),
+        )
         need.count = need.lacks.get(zone, need.hire)
         return [o for o in options if o[2] == zone]
 
@@ -388,29 +415,40 @@
         rent, shares = self._pending_hires.pop(name)
         if outcome.status == 200:
             ids: tuple[MachineId, ...] = outcome.body
-            self.cx.log("info", f"hired {len(ids)} of {rent.number} {rent.type} in {rent.zone}"
-                                f"{' (spot)' if rent.spot else ''}")
+            self.cx.log(
+                "info",
+                f"hired {len(ids)} of {rent.number} {rent.type} in {rent.zone}"
+                f"{' (spot)' if rent.spot else ''}",
+            )
             if len(ids) < rent.number:
                 self._note_refusal(rent.type, rent.zone, rent.spot)
             else:
                 self._refused.pop((rent.type, rent.zone, rent.spot), None)
             if self.leading:
                 self._booting.update((id, Instant(outcome.began)) for id in ids)
-                self.inventory.adopt([(id, rent.type, rent.zone, rent.spot, share)
-                             for id, share in zip(ids, shares, strict=False)])
+                self.inventory.adopt(
+                    [
+                        (id, rent.type, rent.zone, rent.spot, share)
+                        for id, share in zip(ids, shares, strict=False)
+                    ]
+                )
         elif outcome.status == 503:
             self._note_refusal(rent.type, rent.zone, rent.spot)
         else:
             # Too many requests, or of unknown fate: what was hired turns up in the list.
             key = (rent.type, rent.zone, rent.spot)
-            self._refused[key] = (self._refused.get(key, (0.0, START))[0],
-                                  Instant(self.cx.now + 1.0))
+            self._refused[key] = (
+                self._refused.get(key, (0.0, START))[0],
+                Instant(self.cx.now + 1.0),
+            )
 
     def _keep_spare(self, idle: dict[ShareNo, list[tuple[float, MachineId, Record]]]) -> None:
         """Return what stays empty, beyond what was in use at once lately and a spare part."""
         now = self.cx.now
-        demand = sum(load.used + sum(n.size.cpus * n.count for n in load.needs)
-                     for load in self.loads.values())
+        demand = sum(
+            load.used + sum(n.size.cpus * n.count for n in load.needs)
+            for load in self.loads.values()
+        )
         self._peaks.append((now, demand))
         window = self.cx.operators.peak_window
         while self._peaks and self._peaks[0][0] < now - window:
@@ -424,10 +462,13 @@
                 for id in [id for id in known if id not in self.fleet.records]:
                     del known[id]
             cheap = sum(r.spot for r in self.fleet.records.values())
-            self.cx.log("info", f"fleet: {len(self.fleet.records)} machines, {cheap} cheap,"
-                                f" {sum(map(len, idle.values()))} empty; {capacity:.0f} CPUs,"
-                                f" {sum(ld.used for ld in self.loads.values()):.0f} used,"
-                                f" {demand:.0f} asked, {keep:.0f} kept")
+            self.cx.log(
+                "info",
+                f"fleet: {len(self.fleet.records)} machines, {cheap} cheap,"
+                f" {sum(map(len, idle.values()))} empty; {capacity:.0f} CPUs,"
+                f" {sum(ld.used for ld in self.loads.values()):.0f} used,"
+                f" {demand:.0f} asked, {keep:.0f} kept",
+            )
         largest = self._largest_tasks() if any(idle.values()) else {}
         for share in self.shares.all():
             for seconds, id, record in sorted(idle[share], key=lambda i: (i[2].spot, -i[0])):
@@ -436,8 +477,11 @@
                 if limit is None:
                     # A machine costs its boot again, and a minute at the least.
                     limit = min(max(60.0 - type_.boot_s, 0.5 * type_.boot_s), 45.0)
-                if (seconds > limit and capacity - type_.cpus >= keep
-                        and self._free_of(share) - type_.cpus >= largest.get(share, 0.0)):
+                if (
+                    seconds > limit
+                    and capacity - type_.cpus >= keep
+                    and self._free_of(share) - type_.cpus >= largest.get(share, 0.0)
+                ):
                     capacity -= type_.cpus
                     self._cpus[share] -= type_.cpus
                     self.yielding.ask_owner(share, {"t": "retire", "machine": id})
@@ -462,8 +506,9 @@
         largest = max((t.cpus for t in self.fleet.types.values()), default=0.0)
         if capacity - 1.5 * largest < keep:
             return
-        slack = {s: self._cpus[s] - self.loads[s].used
-                 for s in self.shares.all() if s in self.loads}
+        slack = {
+            s: self._cpus[s] - self.loads[s].used for s in self.shares.all() if s in self.loads
+        }
         if slack:
             share = max(slack, key=lambda s: slack[s])
             if slack[share] > 1.25 * largest:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -52,8 +52,7 @@
 class Scheduler:
     """Watches the ledger, and fills machines with the tasks that wait."""
 
-    def __init__(self, cx: Context, store: Store, shares: Shares, jobs: Jobs,
-                 quota: Quota) -> None:
+    def __init__(self, cx: Context, store: Store, shares: Shares, jobs: Jobs, quota: Quota) -> None:
         self.cx = cx
         self.store = store
         self.shares = shares
@@ -82,11 +81,20 @@
         self.fleet = fleet
         self.failures = Failures(self.cx, fleet, self.changed)
         self.gangs = Gangs(self.cx, fleet, self.work)
-        self.preemption = Preemption(self.cx, fleet, self.quota, self.order, self.budget,
-                                     self.work, self.gangs)
-        self.gang_room = GangRoom(self.cx, self.shares, fleet, self.quota, self.gangs,
-                                  self.preemption, self.budget, self._score,
-                                  self.order.within)
+        self.preemption = Preemption(
+            self.cx, fleet, self.quota, self.order, self.budget, self.work, self.gangs
+        )
+        self.gang_room = GangRoom(
+            self.cx,
+            self.shares,
+            fleet,
+            self.quota,
+            self.gangs,
+            self.preemption,
+            self.budget,
+            self._score,
+            self.order.within,
+        )
         self.moves = Moves(self.cx, self.shares, fleet, self.work, self.gangs)
 
     # --- jobs ----------------------------------------------------------------------------
@@ -121,8 +129,11 @@
         placed = {p.task.number for p in self.fleet.of_job(job.uid)}
         # As digits once: shifting a large bitmap for each of 100,000 tasks takes seconds.
         done = f"{job.done_bits:b}".rjust(job.spec.tasks, "0")
-        work.pending = {job.spec.tasks - 1 - n: None for n, bit in enumerate(done)
-                        if bit == "0" and job.spec.tasks - 1 - n not in placed}
+        work.pending = {
+            job.spec.tasks - 1 - n: None
+            for n, bit in enumerate(done)
+            if bit == "0" and job.spec.tasks - 1 - n not in placed
+        }
         self.work[job.uid] = work
         if job.spec.gang:
             for placement in self.fleet.of_job(job.uid):
@@ -188,15 +199,24 @@
             machine.full_until = Instant(now + 1.0)
         elif why == "unknown":
             work.not_before = Instant(now + 1.0)
-        if (not work.finished >> index & 1 and not work.job.is_done(index)
-                and placement.task not in self.fleet.where):
+        if (
+            not work.finished >> index & 1
+            and not work.job.is_done(index)
+            and placement.task not in self.fleet.where
+        ):
             work.pending[index] = None
             work.tried.add(index)
             if work.job.spec.gang:
                 self.gangs.gone(work, placement, why)
 
-    def _probe(self, work: Work, usable: Usable, roomy: list[Machine],
-               claimed: set[MachineId], unlocated: dict[Team, Size]) -> None:
+    def _probe(
+        self,
+        work: Work,
+        usable: Usable,
+        roomy: list[Machine],
+        claimed: set[MachineId],
+        unlocated: dict[Team, Size],
+    ) -> None:
         """One task of a job that fails wherever it starts, in room that nobody else took, on a
         machine where it has not failed yet and, if there is one, that holds its image."""
         if self.failures.goes_well(work):
@@ -206,8 +226,9 @@
         if self.cx.now < work.not_before or any(work.zones.values()):
             return
         size = work.job.size
-        fits = [m for m in roomy if m.id not in claimed and size.fits(m.room)
-                and permits(work.job, m)]
+        fits = [
+            m for m in roomy if m.id not in claimed and size.fits(m.room) and permits(work.job, m)
+        ]
         fits = [m for m in fits if m.id not in work.errors] or fits
         fits = [m for m in fits if work.job.spec.image in m.images] or fits
         if fits and work.job.spec.gang:
@@ -282,12 +303,16 @@
         unmet: list[tuple[Job, int, tuple[str, ...]]] = []
         # Sizes that found no room in this turn: what is no smaller won't find any either.
         full: dict[tuple[Any, ...], list[Size]] = {}
-        least = Size(*map(min, zip(*(work.job.size for work in (*waiting, *mistaken)),
-                                   strict=True)))
+        least = Size(
+            *map(min, zip(*(work.job.size for work in (*waiting, *mistaken)), strict=True))
+        )
         # Most machines of a busy fleet are full: whether they are usable is asked only when
         # something might be stopped there.
-        roomy = [m for m in machines if m.room.cpus + 1e-9 >= least.cpus
-                 and least.fits(m.room) and self.fleet.usable(m)]
+        roomy = [
+            m
+            for m in machines
+            if m.room.cpus + 1e-9 >= least.cpus and least.fits(m.room) and self.fleet.usable(m)
+        ]
         plenty = self._plentiful(holding, waiting, usable, roomy)
         self._serve_aged(holding, waiting, usable, roomy, claimed, unlocated)
         # Class by class: what leaves a machine to others must not stop them for it at once.
@@ -319,12 +344,19 @@
         if self._reserved.get(machine.id, job.uid) == job.uid:
             return True
         waits = self.cx.now - job.submitted
-        return ((job.spec.service and waits > ELSEWHERE_S)
-                or (not job.spec.gang and waits > UNBEGUN_S and not begun(work)))
-
-    def _serve_aged(self, holding: Holding, waiting: list[Work], usable: Usable,
-                    roomy: list[Machine], claimed: set[MachineId],
-                    unlocated: dict[Team, Size]) -> None:
+        return (job.spec.service and waits > ELSEWHERE_S) or (
+            not job.spec.gang and waits > UNBEGUN_S and not begun(work)
+        )
+
+    def _serve_aged(
+        self,
+        holding: Holding,
+        waiting: list[Work],
+        usable: Usable,
+        roomy: list[Machine],
+        claimed: set[MachineId],
+        unlocated: dict[Team, Size],
+    ) -> None:
         """Work that is long overdue makes way steadily: its first task goes before all else, and
         after that a part of what is started is its own. All of it first would make whatever
         comes meanwhile overdue in its turn."""
@@ -335,9 +367,14 @@
             first = 0 if begun(work) else 1
             most = max(first, int(credit))
             if most and before:
-                fits = [m for m in roomy if work.job.size.fits(m.room)
-                        and m.id not in claimed and permits(work.job, m)
-                        and self._open_to(work, m)]
+                fits = [
+                    m
+                    for m in roomy
+                    if work.job.size.fits(m.room)
+                    and m.id not in claimed
+                    and permits(work.job, m)
+                    and self._open_to(work, m)
+                ]
                 self._fill(work, usable, fits, claimed, unlocated, False, most)
                 credit -= max(0, before - len(work.pending) - first)
                 if len(work.pending) == before and not first:
@@ -352,35 +389,54 @@
             return count
         return min(count, math.ceil(count * spec.estimate_s / MACHINE_S))
 
-    def _serve_last(self, work: Work, usable: Usable, roomy: list[Machine],
-                    claimed: set[MachineId], unlocated: dict[Team, Size],
-                    full: dict[tuple[Any, ...], list[Size]],
-                    unmet: list[tuple[Job, int, tuple[str, ...]]]) -> None:
+    def _serve_last(
+        self,
+        work: Work,
+        usable: Usable,
+        roomy: list[Machine],
+        claimed: set[MachineId],
+        unlocated: dict[Team, Size],
+        full: dict[tuple[Any, ...], list[Size]],
+        unmet: list[tuple[Job, int, tuple[str, ...]]],
+    ) -> None:
         missing = self._serve(work, usable, roomy, claimed, unlocated, full, True)
         if missing:
             closed = tuple(z for z in sorted(work.zones) if not zone_open(work, z))
             unmet.append((work.job, missing, closed))
 
-    def _serve(self, work: Work, usable: Usable, roomy: list[Machine],
-               claimed: set[MachineId], unlocated: dict[Team, Size],
-               full: dict[tuple[Any, ...], list[Size]], last: bool) -> int:
+    def _serve(
+        self,
+        work: Work,
+        usable: Usable,
+        roomy: list[Machine],
+        claimed: set[MachineId],
+        unlocated: dict[Team, Size],
+        full: dict[tuple[Any, ...], list[Size]],
+        last: bool,
+    ) -> int:
         """Start what fits on the `roomy` machines; returns how many tasks found none. Only the
         `last` try may stop others."""
         if not work.pending:
             return 0
         spec, size = work.job.spec, work.job.size
         if spec.gang:
-            return self.gang_room.serve(work, usable,
-                                        [m for m in roomy if self._open_to(work, m)], claimed,
-                                        unlocated.get(Team(spec.team), NOTHING), last)
+            return self.gang_room.serve(
+                work,
+                usable,
+                [m for m in roomy if self._open_to(work, m)],
+                claimed,
+                unlocated.get(Team(spec.team), NOTHING),
+                last,
+            )
         kind = (spec.spot, spec.types, spec.zone)
         if any(small.fits(size) for small in full.get(kind, ())):
             work.waits = "no machine with room"
             if last:
                 self.preemption.make_room(work, usable, claimed, len(work.pending))
             return len(work.pending)
-        fits = [m for m in roomy if size.fits(m.room) and m.id not in claimed
-                and permits(work.job, m)]
+        fits = [
+            m for m in roomy if size.fits(m.room) and m.id not in claimed and permits(work.job, m)
+        ]
         if self._reserved:
             fits = [m for m in fits if self._open_to(work, m)]
         if not fits:
@@ -390,8 +446,9 @@
                 return len(work.pending)
         return self._fill(work, usable, fits, claimed, unlocated, last)
 
-    def _plentiful(self, holding: Holding, waiting: list[Work], usable: Usable,
-                   roomy: list[Machine]) -> frozenset[str]:
+    def _plentiful(
+        self, holding: Holding, waiting: list[Work], usable: Usable, roomy: list[Machine]
+    ) -> frozenset[str]:
         """Extension: while more waits than there is room for, images that enough machines hold
         for their part of what waits. Their tasks leave machines without the image to others
         whose image is there, as fetching takes a good part of a short task's time."""
@@ -413,23 +470,29 @@
             self._held[holding.number] = (self.cx.now, held, cpus)
         if not cpus:
             return frozenset()
-        return frozenset(image for image, part in wanted.items()
-                         if held.get(image, 0.0) / cpus >= min(PLENTY * part / total, 1.0))
+        return frozenset(
+            image
+            for image, part in wanted.items()
+            if held.get(image, 0.0) / cpus >= min(PLENTY * part / total, 1.0)
+        )
 
     def _hidden(self, holding: Holding) -> list[Machine]:
         """One machine of each kind and place among those that may hold unknown tasks."""
         if holding.settled:
             return []
-        kinds = {(m.record.type, m.record.zone, m.record.spot): m
-                 for m in self.fleet.of_share(holding.number) if not m.settled}
+        kinds = {
+            (m.record.type, m.record.zone, m.record.spot): m
+            for m in self.fleet.of_share(holding.number)
+            if not m.settled
+        }
         return list(kinds.values())
 
     def _may_hide(self, job: Job, holding: Holding, hidden: list[Machine]) -> bool:
         """May an earlier owner have started tasks of the job that aren't located yet? Only on
         machines where they are allowed and fit: the others need not be waited for."""
         return job.accepted <= holding.epoch and any(
-            permits(job, m) and (m.type is None or job.size.fits(m.type.size))
-            for m in hidden)
+            permits(job, m) and (m.type is None or job.size.fits(m.type.size)) for m in hidden
+        )
 
     def _unlocated(self, holding: Holding, hidden: list[Machine]) -> dict[Team, Size]:
         """Tasks that an earlier owner may have started on machines not heard of yet: those of
@@ -487,9 +550,16 @@
         dear = 0.0 if machine.record.spot or machine.lasting > 0 or job.spec.service else 0.3
         return lasting + 0.2 * used.cpus / cpus - dear
 
-    def _fill(self, work: Work, usable: Usable, fits: list[Machine],
-              claimed: set[MachineId], unlocated: dict[Team, Size], last: bool,
-              most: float = math.inf) -> int:
+    def _fill(
+        self,
+        work: Work,
+        usable: Usable,
+        fits: list[Machine],
+        claimed: set[MachineId],
+        unlocated: dict[Team, Size],
+        last: bool,
+        most: float = math.inf,
+    ) -> int:
         """Start what fits, `most` tasks at the most; returns how many found no machine. `fits`
         are the machines that have room for one task at the least."""
         job = work.job
@@ -511,9 +581,10 @@
                 return 0
             task = TaskId(job.uid, next(reversed(work.pending)))
             aside = []
-            while scored and not (zone_open(work, scored[0][2].record.zone)
-                                  and not (task.number in work.tried
-                                           and scored[0][2].holds(task))):
+            while scored and not (
+                zone_open(work, scored[0][2].record.zone)
+                and not (task.number in work.tried and scored[0][2].holds(task))
+            ):
                 entry = heapq.heappop(scored)
                 if zone_open(work, entry[2].record.zone):
                     aside.append(entry)  # holds a former attempt of this task only
@@ -521,8 +592,9 @@
                 break
             _, n, machine = scored[0]
             self.fleet.place(job, task.number, machine, machine.share.next_attempt())
-            self.cx.log("debug", f"{task} placed on {machine.id}, {now - job.submitted:.2f} s"
-                                 " after its job")
+            self.cx.log(
+                "debug", f"{task} placed on {machine.id}, {now - job.submitted:.2f} s after its job"
+            )
             if size.fits(machine.room) and len(machine.placements) < MOST_LISTED:
                 heapq.heapreplace(scored, (-self._score(job, machine), n, machine))
             else:
@@ -536,8 +608,9 @@
                 self.preemption.make_room(work, usable, claimed, missing)
         return missing
 
-    def _room_with_image(self, work: Work, usable: Usable, fits: list[Machine],
-                         claimed: set[MachineId]) -> int:
+    def _room_with_image(
+        self, work: Work, usable: Usable, fits: list[Machine], claimed: set[MachineId]
+    ) -> int:
         """Extension: replicas that are promised to start sooner than their image can be fetched
         take the room of lesser work on machines that hold it. For how many tasks room is being
         made: they wait the moment until it is there."""
@@ -545,8 +618,9 @@
         within = self.order.within.get(job.spec.lane)
         if within is None or not job.spec.service or work.mistaken:
             return 0
-        lacking = len(work.pending) - sum(fits_times(job.size, m.room) for m in fits
-                                          if fetch_s(job, m) <= within)
+        lacking = len(work.pending) - sum(
+            fits_times(job.size, m.room) for m in fits if fetch_s(job, m) <= within
+        )
         if lacking <= 0:
             return 0
         return self.preemption.make_room(work, usable, claimed, lacking, within)
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -50,8 +50,14 @@
 
 
 class Shares:
-    def __init__(self, cx: Context, store: Store, authority: Authority,
-                 on_gain: Callable[[Holding], None], on_loss: Callable[[ShareNo], None]) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        store: Store,
+        authority: Authority,
+        on_gain: Callable[[Holding], None],
+        on_loss: Callable[[ShareNo], None],
+    ) -> None:
         self.cx = cx
         self.store = store
         self.authority = authority
@@ -80,8 +86,9 @@
 
     def _mapping_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         names = value["dealt"] if value else ()
-        self._dealt = {Team(str(name)): ShareNo(n % len(self.cx.members))
-                       for n, name in enumerate(names)}
+        self._dealt = {
+            Team(str(name)): ShareNo(n % len(self.cx.members)) for n, name in enumerate(names)
+        }
 
     def _mapping(self) -> tuple[list[tuple[str, int]], list[tuple[str, Any, int | None]]]:
         """Conditions and change with which the first share taken fixes the dealing: a team
@@ -124,13 +131,17 @@
         holding = self.mine.get(share)
         # Its transaction succeeded before this node had read everything up to it: what was
         # cancelled until then must be known before anything is answered or commanded.
-        return (holding is not None and not holding.giving
-                and self.store.applied >= holding.epoch and self.authority.entitled())
+        return (
+            holding is not None
+            and not holding.giving
+            and self.store.applied >= holding.epoch
+            and self.authority.entitled()
+        )
 
     # --- gaining and losing --------------------------------------------------------------
 
     def _changed(self, key: str, value: Any, stamp: Stamp) -> None:
-        share = ShareNo(int(key[len(SHARE):]))
+        share = ShareNo(int(key[len(SHARE) :]))
         holding = self.mine.get(share)
         ours = (
             value is not None
@@ -172,8 +183,12 @@
             *conditions,
         ]
         value = {"owner": self.cx.me, "inc": self.authority.inc}
-        self.store.commit(when, [*fixing, (key, value, None)],
-                          lambda result, stamp: self._taking.discard(share), Store.URGENT)
+        self.store.commit(
+            when,
+            [*fixing, (key, value, None)],
+            lambda result, stamp: self._taking.discard(share),
+            Store.URGENT,
+        )
 
     def tick(self) -> None:
         if not self.authority.live or self.cx.now >= self.authority.until:
@@ -215,8 +230,11 @@
         self.authority.saw_end(member, inc)
         if not self.authority.attests(self.cx.me, inc):
             return
-        others = [m for m in self.cx.members
-                  if m not in (self.cx.me, member) and self.authority.attests(m, inc)]
+        others = [
+            m
+            for m in self.cx.members
+            if m not in (self.cx.me, member) and self.authority.attests(m, inc)
+        ]
         if 1 + len(others) < self.cx.majority:
             return
         if now - since < 0.3 * self._turn(share, member):
@@ -262,8 +280,11 @@
             elif result == "unknown":
                 self._settle_unknown(holding)
 
-        self.store.commit([self.guard(share), (LIVE + home, self.store.stamp(LIVE + home))],
-                          [(self.key(share), {"owner": home, "inc": inc}, None)], done)
+        self.store.commit(
+            [self.guard(share), (LIVE + home, self.store.stamp(LIVE + home))],
+            [(self.key(share), {"owner": home, "inc": inc}, None)],
+            done,
+        )
 
     def _settle_unknown(self, holding: Holding) -> None:
         """The hand-back may yet be applied: write the share anew, so that it can't."""
@@ -274,5 +295,6 @@
 
         if self.mine.get(holding.number) is holding:
             value = {"owner": self.cx.me, "inc": self.authority.inc}
-            self.store.commit([self.guard(holding.number)],
-                              [(self.key(holding.number), value, None)], done)
+            self.store.commit(
+                [self.guard(holding.number)], [(self.key(holding.number), value, None)], done
+            )
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -14,35 +14,65 @@
     for number in node.shares.all():
         owner = node.shares.owner(number)
         holding = node.shares.mine.get(number)
-        shares.append({
-            "share": number, "home": node.cx.home(number), "owner": owner[0] if owner else None,
-            "alive": node.shares.living_owner(number) is not None,
-            "epoch": node.store.stamp(node.shares.key(number)),
-            "settled": holding.settled if holding else None,
-        })
+        shares.append(
+            {
+                "share": number,
+                "home": node.cx.home(number),
+                "owner": owner[0] if owner else None,
+                "alive": node.shares.living_owner(number) is not None,
+                "epoch": node.store.stamp(node.shares.key(number)),
+                "settled": holding.settled if holding else None,
+            }
+        )
     machines = [
-        {"machine": m.id, "share": m.share.number, "type": m.record.type, "zone": m.record.zone,
-         "spot": m.record.spot, "tasks": sum(1 for p in m.placements.values() if p.active),
-         "cpus": m.used.cpus, "usable": node.fleet.usable(m),
-         "set_aside": now < m.quarantined_until, "leaving": m.record.leaving,
-         "heard_s": round(now - m.heard, 1) if m.heard > LONG_AGO else None}
+        {
+            "machine": m.id,
+            "share": m.share.number,
+            "type": m.record.type,
+            "zone": m.record.zone,
+            "spot": m.record.spot,
+            "tasks": sum(1 for p in m.placements.values() if p.active),
+            "cpus": m.used.cpus,
+            "usable": node.fleet.usable(m),
+            "set_aside": now < m.quarantined_until,
+            "leaving": m.record.leaving,
+            "heard_s": round(now - m.heard, 1) if m.heard > LONG_AGO else None,
+        }
         for m in node.fleet.machines.values()
     ]
     gangs = [
-        {"job": work.job.uid, "tasks": work.job.spec.tasks, "attempt": work.attempt,
-         "phase": node.scheduler.gangs.phase(work), "incomplete": work.incomplete}
-        for work in list(node.scheduler.work.values()) if work.job.spec.gang
+        {
+            "job": work.job.uid,
+            "tasks": work.job.spec.tasks,
+            "attempt": work.attempt,
+            "phase": node.scheduler.gangs.phase(work),
+            "incomplete": work.incomplete,
+        }
+        for work in list(node.scheduler.work.values())
+        if work.job.spec.gang
     ]
     waiting = [
-        {"job": work.job.uid, "team": work.job.spec.team, "tasks": len(work.pending),
-         "gang": work.job.spec.gang,
-         "for_s": round(now - work.job.submitted, 1), "why": work.waits or "its turn"}
-        for work in list(node.scheduler.work.values()) if work.pending
+        {
+            "job": work.job.uid,
+            "team": work.job.spec.team,
+            "tasks": len(work.pending),
+            "gang": work.job.spec.gang,
+            "for_s": round(now - work.job.submitted, 1),
+            "why": work.waits or "its turn",
+        }
+        for work in list(node.scheduler.work.values())
+        if work.pending
     ]
     return {
-        "member": node.cx.me, "entitled": node.authority.entitled(),
+        "member": node.cx.me,
+        "entitled": node.authority.entitled(),
         "contact_s": round(now - node.store.last_contact, 2) if node.store.ready else None,
-        "leader": node.rental.leader(), "leading": node.rental.leading,
-        "versions": node.versions.seen(), "all_read": node.versions.all_read,
-        "shares": shares, "machines": machines, "waiting": waiting, "gangs": gangs,
+        "leader": node.rental.leader(),
+        "leading": node.rental.leading,
+        "versions": node.versions.seen(),
+        "all_read": node.versions.all_read,
+        "shares": shares,
+        "machines": machines,
+        "waiting": waiting,
+        "gangs": gangs,
     }
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -225,8 +225,14 @@
         """Seconds that a change asked for now would wait at the least."""
         return self._queued / self._writes.rate
 
-    def commit(self, when: list[tuple[str, int]], then: list[Put], result: Result,
-               urgency: int = OWNER, until: Instant = ALWAYS) -> None:
+    def commit(
+        self,
+        when: list[tuple[str, int]],
+        then: list[Put],
+        result: Result,
+        urgency: int = OWNER,
+        until: Instant = ALWAYS,
+    ) -> None:
         """`until`: when whoever asked for the change has given it up."""
 
         def done(outcome: Outcome, tries: int) -> None:
@@ -247,9 +253,12 @@
             elif status == 400:
                 # Never repeated as it is: whoever asked for it must ask for less.
                 size = max((json_size(value) for _, value, _ in then), default=0)
-                self.cx.log("error", f"the state service takes no such change: {len(then)} keys"
-                                     f" from {then[0][0] if then else '-'}, the largest value"
-                                     f" {size} bytes")
+                self.cx.log(
+                    "error",
+                    f"the state service takes no such change: {len(then)} keys"
+                    f" from {then[0][0] if then else '-'}, the largest value"
+                    f" {size} bytes",
+                )
                 result("rejected", ABSENT)
             elif outcome.body == LATE:
                 result("refused", ABSENT)
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -27,8 +27,16 @@
 
 
 class Users:
-    def __init__(self, cx: Context, store: Store, shares: Shares, jobs: Jobs, quota: Quota,
-                 fleet: Fleet, confirmations: Confirmations) -> None:
+    def __init__(
+        self,
+        cx: Context,
+        store: Store,
+        shares: Shares,
+        jobs: Jobs,
+        quota: Quota,
+        fleet: Fleet,
+        confirmations: Confirmations,
+    ) -> None:
         self.cx = cx
         self.store = store
         self.confirmations = confirmations
@@ -44,8 +52,9 @@
 
     # --- answers -------------------------------------------------------------------------
 
-    def refuse(self, request: int, status: int = 503, after: float = 1.0,
-               why: str = "not now") -> None:
+    def refuse(
+        self, request: int, status: int = 503, after: float = 1.0, why: str = "not now"
+    ) -> None:
         self.cx.out.append(Answer(request, status, {"error": why}, after))
 
     def _state(self, job: Job) -> dict[str, Any]:
@@ -53,8 +62,11 @@
             done = job.spec.tasks if job.stage == "done" else job.done_count
             return job_state(job.uid, job.stage, done, 0)
         share = self.shares.of_team(Team(job.spec.team))
-        running = (self.fleet.running_of(job.uid) if share in self.shares.mine
-                   else self.running.get(job.uid, 0))
+        running = (
+            self.fleet.running_of(job.uid)
+            if share in self.shares.mine
+            else self.running.get(job.uid, 0)
+        )
         done = min(job.done_count, job.spec.tasks)
         return job_state(job.uid, "running" if running else "queued", done, running)
 
@@ -200,8 +212,13 @@
             else:
                 self.refuse(request, 503, 1.0, "not stored")
 
-        self.store.commit([(JOB + uid, ABSENT)], [(JOB + uid, job_value(spec, "accepted"), None)],
-                          result, Store.USER, later(self.cx.now, GIVEN_UP_S))
+        self.store.commit(
+            [(JOB + uid, ABSENT)],
+            [(JOB + uid, job_value(spec, "accepted"), None)],
+            result,
+            Store.USER,
+            later(self.cx.now, GIVEN_UP_S),
+        )
 
     def tell_owner(self, share: ShareNo, message: dict[str, Any]) -> None:
         owner = self.shares.living_owner(share)
@@ -247,7 +264,10 @@
                 self.refuse(request, 503, 1.0, "not stored")
 
         # The owner's live key stands: it hears of this, or it loses its authority in time.
-        self.store.commit([(key, int(job.stamp)), (LIVE + owner, self.store.stamp(LIVE + owner))],
-                          [(key, final_value(job.spec, "cancelled", self.cx.limits.value_bytes),
-                            None)], result, Store.OWNER,
-                          later(self.cx.now, GIVEN_UP_S))
+        self.store.commit(
+            [(key, int(job.stamp)), (LIVE + owner, self.store.stamp(LIVE + owner))],
+            [(key, final_value(job.spec, "cancelled", self.cx.limits.value_bytes), None)],
+            result,
+            Store.OWNER,
+            later(self.cx.now, GIVEN_UP_S),
+        )
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -28,10 +28,13 @@
         """A member that is away keeps the version it was last seen with."""
         if value is None:
             return
-        member, version = Member(key[len(LIVE):]), int(value.get("version", FORMER))
+        member, version = Member(key[len(LIVE) :]), int(value.get("version", FORMER))
         if version < VERSION and self.all_read:
-            self.cx.log("warning", f"{member} came back with a former version: it starts anew what"
-                                   " it can't read to be done")
+            self.cx.log(
+                "warning",
+                f"{member} came back with a former version: it starts anew what"
+                " it can't read to be done",
+            )
         self._seen[member] = version
 
     @property
@@ -44,8 +47,11 @@
 
     def note(self, guard: tuple[str, int]) -> None:
         """By the leader: note that all are of this version, once they are."""
-        if (self._noting or self.all_read
-                or any(self._seen.get(m, FORMER) < VERSION for m in self.cx.members)):
+        if (
+            self._noting
+            or self.all_read
+            or any(self._seen.get(m, FORMER) < VERSION for m in self.cx.members)
+        ):
             return
         self._noting = True
 
@@ -54,5 +60,9 @@
 
         # Those that live must still be the ones that were seen.
         when = [(LIVE + m, int(self.store.stamp(LIVE + m))) for m in self.cx.members]
-        self.store.commit([guard, (FORMAT, int(ABSENT)), *when],
-                          [(FORMAT, {"version": VERSION}, None)], done, Store.LATER)
+        self.store.commit(
+            [guard, (FORMAT, int(ABSENT)), *when],
+            [(FORMAT, {"version": VERSION}, None)],
+            done,
+            Store.LATER,
+        )
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -14,10 +14,29 @@
 class Work:
     """What is left to do of one open job of an owned share."""
 
-    __slots__ = ("aged_until", "attempt", "ending", "errors", "fails_after", "finished",
-                 "flushed_at", "flushing", "incomplete", "job", "mistaken", "not_before",
-                 "pending", "probes", "reserved_at", "retry_at", "share", "started", "tried",
-                 "waits", "zones")
+    __slots__ = (
+        "aged_until",
+        "attempt",
+        "ending",
+        "errors",
+        "fails_after",
+        "finished",
+        "flushed_at",
+        "flushing",
+        "incomplete",
+        "job",
+        "mistaken",
+        "not_before",
+        "pending",
+        "probes",
+        "reserved_at",
+        "retry_at",
+        "share",
+        "started",
+        "tried",
+        "waits",
+        "zones",
+    )
 
     def __init__(self, job: Job, share: ShareNo) -> None:
         self.job = job
--- a/runcourse/core/yielding.py
+++ b/runcourse/core/yielding.py
@@ -21,8 +21,9 @@
 
 
 class Yielding:
-    def __init__(self, cx: Context, store: Store, shares: Shares, fleet: Fleet,
-                 scheduler: Scheduler) -> None:
+    def __init__(
+        self, cx: Context, store: Store, shares: Shares, fleet: Fleet, scheduler: Scheduler
+    ) -> None:
         self.cx = cx
         self.store = store
         self.shares = shares
@@ -53,8 +54,13 @@
                 self.scheduler.moves.drain(share, int(message["n"]))
             return
         machine = self.fleet.machines.get(MachineId(str(message["machine"])))
-        if (machine is None or machine.busy or machine.moving or machine.record.leaving
-                or not self.shares.may_command(machine.share.number)):
+        if (
+            machine is None
+            or machine.busy
+            or machine.moving
+            or machine.record.leaving
+            or not self.shares.may_command(machine.share.number)
+        ):
             return
         if message["t"] == "retire":
             self.change_record(machine, leaving=True)
@@ -74,7 +80,9 @@
                 return
             self.store.commit(
                 [self.shares.guard(machine.share.number), (MACHINE + machine.id, record.stamp)],
-                [(MACHINE + machine.id, record.value(**changes), None)], done)
+                [(MACHINE + machine.id, record.value(**changes), None)],
+                done,
+            )
 
         def done(result: str, stamp: Stamp) -> None:
             if result == "ok":
@@ -108,8 +116,12 @@
             machine = self.fleet.machines.get(id)
             if machine is None or self.cx.now > until:
                 del self._promised[id]
-            elif (not machine.busy and not machine.moving and not machine.record.leaving
-                    and self.shares.may_command(machine.share.number)):
+            elif (
+                not machine.busy
+                and not machine.moving
+                and not machine.record.leaving
+                and self.shares.may_command(machine.share.number)
+            ):
                 del self._promised[id]
                 self.change_record(machine, share=to)
 
@@ -117,8 +129,7 @@
         """Machines of that many CPUs, those promised before included, go as they fall empty."""
         share, to = ShareNo(int(message["share"])), ShareNo(int(message["to"]))
         need = Need(message["need"])
-        if (not self.shares.may_command(share) or to == share
-                or not 0 <= to < len(self.cx.members)):
+        if not self.shares.may_command(share) or to == share or not 0 <= to < len(self.cx.members):
             return
         half = left = float(message["cpus"])
         for id, (other, _) in self._promised.items():
@@ -126,8 +137,13 @@
             if machine is not None and machine.type is not None and other == to:
                 left -= machine.type.cpus
         for machine in self.scheduler.moves.soon_empty(
-                share, lambda m: serves(need, m.record.type, m.record.zone, m.record.spot)
-                and m.type is not None and need.size.fits(m.type.size)):
+            share,
+            lambda m: (
+                serves(need, m.record.type, m.record.zone, m.record.spot)
+                and m.type is not None
+                and need.size.fits(m.type.size)
+            ),
+        ):
             assert machine.type is not None
             # A machine may be more than half of the difference, if it is no more than all of it.
             if machine.type.cpus <= left or half == left >= machine.type.cpus / 2:
@@ -138,14 +154,19 @@
     def _vacate(self, message: dict[str, Any]) -> None:
         share, to = ShareNo(int(message["share"])), ShareNo(int(message["to"]))
         need = Need(message["need"])
-        if (not self.shares.may_command(share) or to == share
-                or not 0 <= to < len(self.cx.members)
-                or any(job.spec.rank <= need.rank for job, _, _
-                       in self.scheduler.unmet.get(share, ()))):
+        if (
+            not self.shares.may_command(share)
+            or to == share
+            or not 0 <= to < len(self.cx.members)
+            or any(job.spec.rank <= need.rank for job, _, _ in self.scheduler.unmet.get(share, ()))
+        ):
             return
         machine = self.scheduler.moves.vacate(
-            share, need.rank, need.size,
-            lambda m: serves(need, m.record.type, m.record.zone, m.record.spot))
+            share,
+            need.rank,
+            need.size,
+            lambda m: serves(need, m.record.type, m.record.zone, m.record.spot),
+        )
         if machine is not None:
             self.cx.log("info", f"machine {machine.id}: makes way for share {to}")
             self._promised[machine.id] = (to, Instant(self.cx.now + VACATE_S))
@@ -160,8 +181,11 @@
                 continue
             machines = self.fleet.of_share(holding.number)
             known = [m for m in machines if m.heard >= 0 or m.record.stamp <= holding.epoch]
-            silent = [m for m in known if now - max(m.heard, holding.since) > limit
-                      or self.fleet.unreached_s(m) > limit]
+            silent = [
+                m
+                for m in known
+                if now - max(m.heard, holding.since) > limit or self.fleet.unreached_s(m) > limit
+            ]
             # If most are, it is rather this node that hears nothing or reaches none. Their
             # leases end all the same, since they are not answered.
             if len(silent) > max(1, len(known) // 2):
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -25,25 +25,35 @@
 TICK_S = 0.05
 USER_S = 3.5
 BEAT_S = 3.5
-LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING,
-          "error": logging.ERROR}
+LEVELS = {
+    "debug": logging.DEBUG,
+    "info": logging.INFO,
+    "warning": logging.WARNING,
+    "error": logging.ERROR,
+}
 
 
 class Daemon:
-    def __init__(self, platform: Platform, operators: Operators,
-                 rng: random.Random | None = None) -> None:
+    def __init__(
+        self, platform: Platform, operators: Operators, rng: random.Random | None = None
+    ) -> None:
         self._platform = platform
         self._loop = asyncio.get_running_loop()
-        self.node = Node(platform, operators, rng or random.Random(),
-                         Instant(self._loop.time()))
+        self.node = Node(platform, operators, rng or random.Random(), Instant(self._loop.time()))
         self._state = StateService(*address(platform.services.state, "services.state"))
-        self._cloud = Cloud(*address(platform.services.cloud, "services.cloud"),
-                            platform.settings.cloud.rps)
+        self._cloud = Cloud(
+            *address(platform.services.cloud, "services.cloud"), platform.settings.cloud.rps
+        )
         sockets = platform.settings.quota.sockets(platform.settings.nodes)
         self._workers = Workers(sockets.kept)
         peers = {Member(p.member): address(p.addr, "peers") for p in platform.peers}
-        self._links = PeerLinks(Member(platform.member), peers, self._heard, self._operators_ask,
-                                Server(self._serve_internal, 8))
+        self._links = PeerLinks(
+            Member(platform.member),
+            peers,
+            self._heard,
+            self._operators_ask,
+            Server(self._serve_internal, 8),
+        )
         self._server = Server(self._serve, sockets.served, "/agent/beat", sockets.reports)
         self._requests = 0
         self._answers: dict[int, asyncio.Future[Any]] = {}
@@ -190,8 +200,7 @@
             if path.startswith("/v1/jobs/") and len(parts) == 4:
                 return await self._user(t.Poll(0, parts[3])) if method == "GET" else Reply(405)
             if path.startswith("/v1/jobs/") and len(parts) == 5 and parts[4] == "withdraw":
-                return (await self._user(t.Withdraw(0, parts[3])) if method == "POST"
-                        else Reply(405))
+                return await self._user(t.Withdraw(0, parts[3])) if method == "POST" else Reply(405)
             return Reply(404, wire.encode({"error": "no such path"}))
         except wire.Malformed as problem:
             self._malformed[path] = self._malformed.get(path, 0) + 1
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -31,9 +31,17 @@
     def __init__(self) -> None:
         self.malformed: dict[str, int] = {}
 
-    async def call(self, client: Client, method: str, target: str, body: Any, timeout_s: float,
-                   read: Callable[[bytes], Any], also: tuple[int, ...] = (),
-                   until: float = ALWAYS) -> Result:
+    async def call(
+        self,
+        client: Client,
+        method: str,
+        target: str,
+        body: Any,
+        timeout_s: float,
+        read: Callable[[bytes], Any],
+        also: tuple[int, ...] = (),
+        until: float = ALWAYS,
+    ) -> Result:
         """(status, what `read` makes of a good answer, whether it may have been sent)"""
         data = wire.encode(body) if body is not None else None
         try:
@@ -80,22 +88,35 @@
             since = page.pairs[-1].key
 
     async def follow(self, root: str, since: int) -> Result:
-        return await self.call(self._client, "GET",
-                               f"/follow?under={root}&since={since}&wait_ms=0", None, READ_S,
-                               wire.events)
+        return await self.call(
+            self._client,
+            "GET",
+            f"/follow?under={root}&since={since}&wait_ms=0",
+            None,
+            READ_S,
+            wire.events,
+        )
 
     async def commit(self, effect: t.Commit) -> Result:
-        return await self.call(self._client, "POST", "/commit",
-                               wire.transaction(effect.when, effect.then), COMMIT_S,
-                               wire.committed, until=effect.until)
+        return await self.call(
+            self._client,
+            "POST",
+            "/commit",
+            wire.transaction(effect.when, effect.then),
+            COMMIT_S,
+            wire.committed,
+            until=effect.until,
+        )
 
     async def grant(self, ttl_ms: int) -> Result:
-        return await self.call(self._renewals, "POST", "/leases", {"life_ms": ttl_ms}, RENEW_S,
-                               wire.granted)
+        return await self.call(
+            self._renewals, "POST", "/leases", {"life_ms": ttl_ms}, RENEW_S, wire.granted
+        )
 
     async def extend(self, grant: int) -> Result:
-        return await self.call(self._renewals, "POST", f"/leases/{grant}/extend", {}, RENEW_S,
-                               lambda body: None)
+        return await self.call(
+            self._renewals, "POST", f"/leases/{grant}/extend", {}, RENEW_S, lambda body: None
+        )
 
 
 class Cloud(Caller):
@@ -116,8 +137,9 @@
                 await asyncio.sleep(self._next - loop.time())
             self._next = loop.time() + self._gap
 
-    async def _paced(self, method: str, target: str, body: Any,
-                     read: Callable[[bytes], Any]) -> Result:
+    async def _paced(
+        self, method: str, target: str, body: Any, read: Callable[[bytes], Any]
+    ) -> Result:
         await self._turn()
         return await self.call(self._client, method, target, body, CLOUD_S, read)
 
@@ -128,8 +150,9 @@
         machines: list[t.CloudMachine] = []
         since: str | None = None
         while True:
-            status, body, sent = await self._paced("GET", wire.list_path(since, 500), None,
-                                                   wire.cloud_list)
+            status, body, sent = await self._paced(
+                "GET", wire.list_path(since, 500), None, wire.cloud_list
+            )
             if status != 200:
                 return status, None, sent
             page, more = body
@@ -139,12 +162,14 @@
             since = page[-1].id
 
     async def rent(self, e: t.Rent) -> Result:
-        return await self._paced("POST", "/machines",
-                                 wire.hire(e.name, e.type, e.zone, e.spot, e.number), wire.hired)
+        return await self._paced(
+            "POST", "/machines", wire.hire(e.name, e.type, e.zone, e.spot, e.number), wire.hired
+        )
 
     async def release(self, machines: list[Any]) -> Result:
-        return await self._paced("POST", "/machines/release", wire.release(machines),
-                                 lambda body: None)
+        return await self._paced(
+            "POST", "/machines/release", wire.release(machines), lambda body: None
+        )
 
 
 class Workers(Caller):
@@ -157,9 +182,16 @@
         client = self._client(effect.addr)
         if client is None:
             return 0, None, False
-        return await self.call(client, "POST", "/do",
-                               wire.commands(effect.token, effect.session, effect.orders),
-                               COMMAND_S, wire.report, also=(409,), until=effect.until)
+        return await self.call(
+            client,
+            "POST",
+            "/do",
+            wire.commands(effect.token, effect.session, effect.orders),
+            COMMAND_S,
+            wire.report,
+            also=(409,),
+            until=effect.until,
+        )
 
     async def status(self, addr: str) -> Result:
         client = self._client(addr)
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -20,10 +20,19 @@
 READ_SIZE = 65536
 IDLE_S = 75.0
 BODY_S = 10.0
-REASONS = {200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found",
-           405: b"Method Not Allowed", 413: b"Content Too Large", 421: b"Misdirected Request",
-           422: b"Unprocessable Content", 429: b"Too Many Requests", 431: b"Headers Too Large",
-           503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    201: b"Created",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    413: b"Content Too Large",
+    421: b"Misdirected Request",
+    422: b"Unprocessable Content",
+    429: b"Too Many Requests",
+    431: b"Headers Too Large",
+    503: b"Service Unavailable",
+}
 
 
 class Reply(NamedTuple):
@@ -43,8 +52,9 @@
 
 
 @lru_cache(maxsize=1024)
-def _response(status: int, content_type: str, length: int, retry_after: int | None,
-              close: bool) -> h11.Response:
+def _response(
+    status: int, content_type: str, length: int, retry_after: int | None, close: bool
+) -> h11.Response:
     headers = [("Content-Type", content_type), ("Content-Length", str(length))]
     if retry_after is not None:
         headers.append(("Retry-After", str(retry_after)))
@@ -64,8 +74,9 @@
 class Server:
     """Serves one handler; faults of a client end its connection, never the process."""
 
-    def __init__(self, handler: Handler, max_connections: int, crowd: str = "",
-                 crowd_connections: int = 0) -> None:
+    def __init__(
+        self, handler: Handler, max_connections: int, crowd: str = "", crowd_connections: int = 0
+    ) -> None:
         """Of the connections, those whose clients ask for the path `crowd` have a limit of their
         own: beyond it their answers end the connection, so there are always some for others."""
         self._handler = handler
@@ -117,8 +128,9 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await self.serve(reader, writer)
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                    begun: bytes = b"") -> None:
+    async def serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, begun: bytes = b""
+    ) -> None:
         """Serve one connection, of which `begun` was read already."""
         if len(self._open) >= self._max and not self._close_oldest_idle():
             writer.transport.abort()
@@ -147,8 +159,9 @@
         writer.close()
         return True
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                        begun: bytes) -> None:
+    async def _converse(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, begun: bytes
+    ) -> None:
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=16 * 1024)
         if begun:
             conn.receive_data(begun)
@@ -184,8 +197,9 @@
         self._crowded.add(writer)
         return False
 
-    async def _request(self, conn: h11.Connection, reader: asyncio.StreamReader,
-                       writer: asyncio.StreamWriter) -> tuple[h11.Request | None, bytes | None]:
+    async def _request(
+        self, conn: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> tuple[h11.Request | None, bytes | None]:
         """The next request; no request at the end of the connection, no body if too large."""
         request: h11.Request | None = None
         chunks: list[bytes] = []
@@ -214,15 +228,17 @@
 
     def _encode(self, conn: h11.Connection, reply: Reply, close: bool = False) -> bytes:
         after = None if reply.retry_after is None else max(1, round(reply.retry_after))
-        parts = [conn.send(_response(reply.status, reply.content_type, len(reply.body), after,
-                                     close))]
+        parts = [
+            conn.send(_response(reply.status, reply.content_type, len(reply.body), after, close))
+        ]
         if reply.body:
             parts.append(conn.send(h11.Data(data=reply.body)))
         parts.append(conn.send(_END))
         return b"".join(p for p in parts if p)
 
-    async def _refuse(self, conn: h11.Connection, writer: asyncio.StreamWriter,
-                      status: int) -> None:
+    async def _refuse(
+        self, conn: h11.Connection, writer: asyncio.StreamWriter, status: int
+    ) -> None:
         if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE) and not writer.is_closing():
             writer.write(self._encode(conn, Reply(status), close=True))
             with contextlib.suppress(OSError):
@@ -272,8 +288,14 @@
         while self._idle:
             self._idle.pop().writer.transport.abort()
 
-    async def request(self, method: str, target: str, body: bytes | None,
-                      timeout_s: float, until: float = math.inf) -> tuple[int, bytes]:
+    async def request(
+        self,
+        method: str,
+        target: str,
+        body: bytes | None,
+        timeout_s: float,
+        until: float = math.inf,
+    ) -> tuple[int, bytes]:
         """`until`: on the loop's clock, checked once nothing more is waited for before the
         request leaves; a slot, a connection or a pause of the process may have taken long."""
         async with self._slots:
@@ -288,8 +310,10 @@
                 link.writer.transport.abort()
                 self.close()  # what hung may be the path, not this one connection
                 # RuntimeError: uvloop's word for a connection that was closed before the write.
-                if isinstance(problem, (OSError, TimeoutError, EOFError, RuntimeError,
-                                        h11.RemoteProtocolError)):
+                if isinstance(
+                    problem,
+                    (OSError, TimeoutError, EOFError, RuntimeError, h11.RemoteProtocolError),
+                ):
                     raise Unanswered(f"{self._host}: {problem!r}") from problem
                 raise
             if keep and not self._retired:
@@ -312,11 +336,15 @@
             raise NotSent(f"{self._host}: {problem!r}") from problem
         return _Link(reader, writer)
 
-    async def _exchange(self, link: _Link, method: str, target: str, body: bytes | None
-                        ) -> tuple[int, bytes, bool]:
+    async def _exchange(
+        self, link: _Link, method: str, target: str, body: bytes | None
+    ) -> tuple[int, bytes, bool]:
         conn = link.conn
-        parts = [conn.send(_request_head(method, target, self._host,
-                                         None if body is None else len(body)))]
+        parts = [
+            conn.send(
+                _request_head(method, target, self._host, None if body is None else len(body))
+            )
+        ]
         if body:
             parts.append(conn.send(h11.Data(data=body)))
         parts.append(conn.send(_END))
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -25,23 +25,44 @@
         plain = [
             ("runcourse_entitled", "1 while this controller may act", node.authority.entitled()),
             ("runcourse_leading", "1 on the leader", node.rental.leading),
-            ("runcourse_contact_age_seconds", "since the state service answered",
-             node.cx.now - node.store.last_contact if node.store.ready else -1),
+            (
+                "runcourse_contact_age_seconds",
+                "since the state service answered",
+                node.cx.now - node.store.last_contact if node.store.ready else -1,
+            ),
             ("runcourse_shares_owned", "shares owned here", len(node.shares.mine)),
-            ("runcourse_shares_unsettled", "owned shares whose tasks are not all located",
-             sum(not h.settled for h in node.shares.mine.values())),
-            ("runcourse_tasks_waiting", "tasks of owned shares that wait",
-             sum(len(w.pending) for w in node.scheduler.work.values())),
-            ("runcourse_write_backlog_seconds", "changes waiting for the write budget",
-             node.store.backlog),
-            ("runcourse_machines_in_doubt", "heard, but not shown to be reached",
-             sum(m.doubted and m.heard >= 0 for m in node.fleet.machines.values())),
-            ("runcourse_cancellations_unconfirmed", "stored, and not certain to be known yet",
-             node.confirmations.waiting),
+            (
+                "runcourse_shares_unsettled",
+                "owned shares whose tasks are not all located",
+                sum(not h.settled for h in node.shares.mine.values()),
+            ),
+            (
+                "runcourse_tasks_waiting",
+                "tasks of owned shares that wait",
+                sum(len(w.pending) for w in node.scheduler.work.values()),
+            ),
+            (
+                "runcourse_write_backlog_seconds",
+                "changes waiting for the write budget",
+                node.store.backlog,
+            ),
+            (
+                "runcourse_machines_in_doubt",
+                "heard, but not shown to be reached",
+                sum(m.doubted and m.heard >= 0 for m in node.fleet.machines.values()),
+            ),
+            (
+                "runcourse_cancellations_unconfirmed",
+                "stored, and not certain to be known yet",
+                node.confirmations.waiting,
+            ),
             ("runcourse_connections", "open connections on the API address", self.connections),
             ("runcourse_malformed", "malformed requests and answers", self.malformed),
-            ("runcourse_memory_bytes", "largest resident size so far",
-             resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024),
+            (
+                "runcourse_memory_bytes",
+                "largest resident size so far",
+                resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024,
+            ),
         ]
         for name, text, value in plain:
             yield GaugeMetricFamily(name, text, value=float(value))
@@ -50,15 +71,19 @@
         jobs.add_metric(["open"], open_jobs)
         jobs.add_metric(["ended"], len(node.jobs) - open_jobs)
         yield jobs
-        machines = GaugeMetricFamily("runcourse_machines", "machines of owned shares",
-                                     labels=["state"])
+        machines = GaugeMetricFamily(
+            "runcourse_machines", "machines of owned shares", labels=["state"]
+        )
         usable = sum(node.fleet.usable(m) for m in node.fleet.machines.values())
         machines.add_metric(["usable"], usable)
         machines.add_metric(["other"], len(node.fleet.machines) - usable)
         yield machines
         gangs = GaugeMetricFamily("runcourse_gangs", "gangs of owned shares", labels=["phase"])
-        phases = Counter(node.scheduler.gangs.phase(work)
-                         for work in node.scheduler.work.values() if work.job.spec.gang)
+        phases = Counter(
+            node.scheduler.gangs.phase(work)
+            for work in node.scheduler.work.values()
+            if work.job.spec.gang
+        )
         for phase in ("idle", "placed", "running", "ending"):
             gangs.add_metric([phase], phases[phase])
         yield gangs
--- a/runcourse/net/peers.py
+++ b/runcourse/net/peers.py
@@ -76,10 +76,14 @@
 
 
 class PeerLinks:
-    def __init__(self, me: Member, peers: dict[Member, tuple[str, int]],
-                 heard: Callable[[Member, dict[str, Any]], None],
-                 operators_ask: Callable[[dict[str, Any]], dict[str, Any]],
-                 http: Server) -> None:
+    def __init__(
+        self,
+        me: Member,
+        peers: dict[Member, tuple[str, int]],
+        heard: Callable[[Member, dict[str, Any]], None],
+        operators_ask: Callable[[dict[str, Any]], dict[str, Any]],
+        http: Server,
+    ) -> None:
         self._out = {m: _Outbound(me, *addr) for m, addr in peers.items()}
         self._heard = heard
         self._operators_ask = operators_ask
--- a/runcourse/wire/messages.py
+++ b/runcourse/wire/messages.py
@@ -108,8 +108,16 @@
     s = _convert(body, _Submission)
     if not UID.match(s.uid):
         raise Malformed("uid is not a job id")
-    _finite(s.vcpus, s.gpus, s.ram_gb, s.pull_gb, s.guess_s, s.mark_every_s, s.mark_cost_s,
-            s.due_s or 0.0)
+    _finite(
+        s.vcpus,
+        s.gpus,
+        s.ram_gb,
+        s.pull_gb,
+        s.guess_s,
+        s.mark_every_s,
+        s.mark_cost_s,
+        s.due_s or 0.0,
+    )
     return JobSpec(
         uid=s.uid,
         lane=s.lane,
@@ -135,8 +143,9 @@
     )
 
 
-def job_state(uid: str, stage: str, done: int | None = None,
-              running: int | None = None) -> dict[str, Any]:
+def job_state(
+    uid: str, stage: str, done: int | None = None, running: int | None = None
+) -> dict[str, Any]:
     state: dict[str, Any] = {"uid": uid, "stage": stage}
     if done is not None:
         state["done"] = done
@@ -148,25 +157,48 @@
     """A submission as a user sends it (the client commands and stand-ins use this)."""
     ranks = {number: name for name, number in RANKS.items()}
     return {
-        "uid": spec.uid, "lane": spec.lane, "crew": spec.team,
+        "uid": spec.uid,
+        "lane": spec.lane,
+        "crew": spec.team,
         "shape": "service" if spec.service else "ensemble" if spec.gang else "batch",
         "rank": ranks[spec.rank],
-        "legs": spec.tasks, "vcpus": spec.cpus, "gpus": spec.gpus, "ram_gb": spec.memory,
-        "kit": spec.image, "pull_gb": spec.image_gb,
-        "hulls": list(spec.types) if spec.types is not None else None, "yard": spec.zone,
-        "together": spec.together, "spread": spec.spread, "lendable": spec.spot,
-        "guess_s": spec.estimate_s, "mark_every_s": spec.checkpoint_s,
-        "mark_cost_s": spec.save_s, "due_s": spec.deadline_s,
+        "legs": spec.tasks,
+        "vcpus": spec.cpus,
+        "gpus": spec.gpus,
+        "ram_gb": spec.memory,
+        "kit": spec.image,
+        "pull_gb": spec.image_gb,
+        "hulls": list(spec.types) if spec.types is not None else None,
+        "yard": spec.zone,
+        "together": spec.together,
+        "spread": spec.spread,
+        "lendable": spec.spot,
+        "guess_s": spec.estimate_s,
+        "mark_every_s": spec.checkpoint_s,
+        "mark_cost_s": spec.save_s,
+        "due_s": spec.deadline_s,
     }
 
 
 # --- workers -----------------------------------------------------------------------------
 
-_STAGES = {"fetching": "fetching", "waiting": "waiting", "running": "running",
-           "flushing": "saving", "ended": "ended"}
-_CAUSES = {"done": "done", "halted": "stopped", "error": "error", "full": "full",
-           "in_use": "busy", "no_such": "unknown", "mates_gone": "mates",
-           "incomplete": "incomplete"}
+_STAGES = {
+    "fetching": "fetching",
+    "waiting": "waiting",
+    "running": "running",
+    "flushing": "saving",
+    "ended": "ended",
+}
+_CAUSES = {
+    "done": "done",
+    "halted": "stopped",
+    "error": "error",
+    "full": "full",
+    "in_use": "busy",
+    "no_such": "unknown",
+    "mates_gone": "mates",
+    "incomplete": "incomplete",
+}
 
 
 class _Leg(Struct, frozen=True):
@@ -208,13 +240,15 @@
             task = parse_task(leg.leg)
         except ValueError as problem:
             raise Malformed(str(problem)) from problem
-        tasks.append(TaskReport(
-            task=task,
-            attempt=Attempt(leg.attempt),
-            stage=_STAGES.get(leg.stage or "", "running"),
-            cause=_CAUSES.get(leg.cause or "", "error") if leg.stage == "ended" else "",
-            saved=bool(leg.stored),
-        ))
+        tasks.append(
+            TaskReport(
+                task=task,
+                attempt=Attempt(leg.attempt),
+                stage=_STAGES.get(leg.stage or "", "running"),
+                cause=_CAUSES.get(leg.cause or "", "error") if leg.stage == "ended" else "",
+                saved=bool(leg.stored),
+            )
+        )
     return tuple(tasks)
 
 
@@ -231,16 +265,25 @@
     raw = bytes(b.legs)
     tasks = _legs(raw) if len(raw) > CACHED_BYTES else _legs_again(raw)
     return Report(
-        machine=MachineId(b.host), addr=b.addr or "", type=b.hull or "", zone=b.yard or "",
-        spot=bool(b.lendable), session=Session(b.tenure), seq=b.tick, token=Token(b.baton or 0),
+        machine=MachineId(b.host),
+        addr=b.addr or "",
+        type=b.hull or "",
+        zone=b.yard or "",
+        spot=bool(b.lendable),
+        session=Session(b.tenure),
+        seq=b.tick,
+        token=Token(b.baton or 0),
         notice_s=b.warning_s,
         tasks=tasks,
     )
 
 
 def _order(order: Order) -> dict[str, Any]:
-    body: dict[str, Any] = {"verb": {"start": "run", "stop": "kill", "forget": "clear"}[order.op],
-                            "leg": str(order.task), "try": order.attempt}
+    body: dict[str, Any] = {
+        "verb": {"start": "run", "stop": "kill", "forget": "clear"}[order.op],
+        "leg": str(order.task),
+        "try": order.attempt,
+    }
     if order.op == "stop":
         body["wind_down_s"] = order.grace_s
     return body
@@ -300,9 +343,18 @@
 def catalog(body: bytes) -> tuple[MachineType, ...]:
     types = _convert(decode_map(body), _Catalog).hulls
     return tuple(
-        MachineType(name=h.label, cpus=h.vcpus, memory=h.ram_gb, gpus=h.gpus,
-                    cache_gb=h.cache_gb, fetch_gb_per_s=h.pull_gb_per_s, price=h.hourly,
-                    spot_price=h.market_price, boot_s=h.startup_s, zones=h.yards)
+        MachineType(
+            name=h.label,
+            cpus=h.vcpus,
+            memory=h.ram_gb,
+            gpus=h.gpus,
+            cache_gb=h.cache_gb,
+            fetch_gb_per_s=h.pull_gb_per_s,
+            price=h.hourly,
+            spot_price=h.market_price,
+            boot_s=h.startup_s,
+            zones=h.yards,
+        )
         for h in types
     )
 
@@ -310,8 +362,15 @@
 def cloud_list(body: bytes) -> tuple[tuple[CloudMachine, ...], bool]:
     page = _convert(decode_map(body), _CloudList)
     return tuple(
-        CloudMachine(id=MachineId(h.uid), addr=h.addr, type=h.hull, zone=h.yard,
-                     spot=h.lendable, stage=h.stage, age_s=h.age_s)
+        CloudMachine(
+            id=MachineId(h.uid),
+            addr=h.addr,
+            type=h.hull,
+            zone=h.yard,
+            spot=h.lendable,
+            stage=h.stage,
+            age_s=h.age_s,
+        )
         for h in page.hosts
     ), page.has_next
 
@@ -394,8 +453,9 @@
     return _convert(decode_map(body), _Grant).grant
 
 
-def transaction(when: Iterable[tuple[str, int]],
-                then: Iterable[tuple[str, Any, int | None]]) -> dict[str, Any]:
+def transaction(
+    when: Iterable[tuple[str, int]], then: Iterable[tuple[str, Any, int | None]]
+) -> dict[str, Any]:
     """`then`: (key, value, grant); a value of None drops the key."""
     ops: list[dict[str, Any]] = []
     for key, value, grant in then:
--- a/tests/production.py
+++ b/tests/production.py
@@ -30,8 +30,9 @@
     """Where its package lies under another name; None: the history isn't there."""
     place = ROOT / "target" / "production" / commit()
     if not (place / NAME / "core" / "node.py").exists():
-        tree = subprocess.run(["git", "archive", commit(), "runcourse"], cwd=ROOT,
-                              capture_output=True, check=False)
+        tree = subprocess.run(
+            ["git", "archive", commit(), "runcourse"], cwd=ROOT, capture_output=True, check=False
+        )
         if tree.returncode:
             return None
         place.mkdir(parents=True, exist_ok=True)
@@ -48,8 +49,9 @@
         return None
     if str(place) not in sys.path:
         sys.path.insert(0, str(place))
-    return {name: importlib.import_module(f"{NAME}.core.{name}")
-            for name in ("node", "types", "jobs")}
+    return {
+        name: importlib.import_module(f"{NAME}.core.{name}") for name in ("node", "types", "jobs")
+    }
 
 
 class Former:
@@ -66,9 +68,16 @@
 
     def _report(self, report: Any) -> Any:
         # As its wire module reads a worker's words.
-        tasks = tuple(self.types.TaskReport(
-            e.task, e.attempt, "fetching" if e.stage == "waiting" else e.stage,
-            "mates" if e.cause == "incomplete" else e.cause, e.saved) for e in report.tasks)
+        tasks = tuple(
+            self.types.TaskReport(
+                e.task,
+                e.attempt,
+                "fetching" if e.stage == "waiting" else e.stage,
+                "mates" if e.cause == "incomplete" else e.cause,
+                e.saved,
+            )
+            for e in report.tasks
+        )
         return self.types.Report(*report._replace(tasks=tasks))
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -80,8 +89,10 @@
         if isinstance(event, t.Outcome) and isinstance(event.body, t.Report):
             values["body"] = self._report(event.body)
         effects = self.node.handle(now, getattr(self.types, type(event).__name__)(**values))
-        return [getattr(t, type(e).__name__)(**{f: getattr(e, f) for f in e.__struct_fields__})
-                for e in effects]
+        return [
+            getattr(t, type(e).__name__)(**{f: getattr(e, f) for f in e.__struct_fields__})
+            for e in effects
+        ]
 
 
 def story() -> dict[str, Any]:
@@ -93,14 +104,27 @@
     world.submit(spec("j-000001", tasks=2, team="team-0", service=True, rank=0))
     world.submit(spec("j-000002", tasks=3, team="team-1", estimate_s=1.0))
     world.submit(spec("j-000003", tasks=2, team="team-2", estimate_s=200.0))
-    world.submit(spec("j-000004", tasks=30, team="team-3", estimate_s=2.0, types=("m4",),
-                      spread=True, deadline_s=60.0))
+    world.submit(
+        spec(
+            "j-000004",
+            tasks=30,
+            team="team-3",
+            estimate_s=2.0,
+            types=("m4",),
+            spread=True,
+            deadline_s=60.0,
+        )
+    )
     world.run(12.0)
     world.withdraw("j-000003")
     world.run(3.0)
-    return {"command": "python3 tests/production.py", "commit": commit(),
-            "told": world.told, "data": {k: list(v) for k, v in sorted(world.state.data.items())},
-            "epoch": world.state.epoch}
+    return {
+        "command": "python3 tests/production.py",
+        "commit": commit(),
+        "told": world.told,
+        "data": {k: list(v) for k, v in sorted(world.state.data.items())},
+        "epoch": world.state.epoch,
+    }
 
 
 if __name__ == "__main__":
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -48,8 +48,11 @@
         path, _, query = target.partition("?")
         asked = {k: v[0] for k, v in parse_qs(query).items()}
         if path == "/keys":
-            pairs = [{"key": k, "value": v, "stamp": s} for k, (v, s) in sorted(self.data.items())
-                     if k.startswith(asked["under"]) and k > asked.get("since", "")]
+            pairs = [
+                {"key": k, "value": v, "stamp": s}
+                for k, (v, s) in sorted(self.data.items())
+                if k.startswith(asked["under"]) and k > asked.get("since", "")
+            ]
             return reply(200, {"pairs": pairs, "has_next": False, "epoch": self.epoch})
         if path == "/follow":
             events = [e for e in self.log if e["stamp"] > int(asked["since"])]
@@ -63,8 +66,9 @@
         return reply(404, {})
 
     def commit(self, body: dict[str, Any]) -> Reply:
-        failed = [c["key"] for c in body["when"]
-                  if self.data.get(c["key"], (None, 0))[1] != c["stamp"]]
+        failed = [
+            c["key"] for c in body["when"] if self.data.get(c["key"], (None, 0))[1] != c["stamp"]
+        ]
         if failed:
             return reply(409, {"failed": failed, "epoch": self.epoch})
         self.epoch += 1
@@ -92,9 +96,15 @@
 
     def report(self) -> dict[str, Any]:
         self.tick += 1
-        return {**self.about, "addr": f"127.0.0.1:{self.server.port}", "tenure": 1,
-                "tick": self.tick, "baton": self.baton, "warning_s": None,
-                "legs": list(self.legs.values())}
+        return {
+            **self.about,
+            "addr": f"127.0.0.1:{self.server.port}",
+            "tenure": 1,
+            "tick": self.tick,
+            "baton": self.baton,
+            "warning_s": None,
+            "legs": list(self.legs.values()),
+        }
 
     async def run(self) -> None:
         await asyncio.sleep(0.2)
@@ -102,8 +112,9 @@
         client = Client("127.0.0.1", self.cloud.api_port, limit=1)
         while True:
             try:
-                status, body = await client.request("POST", "/agent/beat", encode(self.report()),
-                                                    4.0)
+                status, body = await client.request(
+                    "POST", "/agent/beat", encode(self.report()), 4.0
+                )
                 if status == 200:
                     self.obey(decode_map(body))
             except (NotSent, Unanswered):
@@ -151,23 +162,48 @@
     async def serve(self, method: str, target: str, body: bytes) -> Reply:
         path = target.partition("?")[0]
         if path == "/catalog":
-            return reply(200, {"hulls": [{
-                "label": "m4", "vcpus": 4, "gpus": 0, "ram_gb": 16, "cache_gb": 40,
-                "pull_gb_per_s": 1.0, "hourly": 1.0, "market_price": 0.3, "startup_s": 1,
-                "yards": ["a", "b"]}]})
+            return reply(
+                200,
+                {
+                    "hulls": [
+                        {
+                            "label": "m4",
+                            "vcpus": 4,
+                            "gpus": 0,
+                            "ram_gb": 16,
+                            "cache_gb": 40,
+                            "pull_gb_per_s": 1.0,
+                            "hourly": 1.0,
+                            "market_price": 0.3,
+                            "startup_s": 1,
+                            "yards": ["a", "b"],
+                        }
+                    ]
+                },
+            )
         if path == "/machines" and method == "GET":
-            hosts = [{"uid": id, "addr": f"127.0.0.1:{w.server.port}", "hull": "m4",
-                      "yard": w.about["yard"], "lendable": w.about["lendable"],
-                      "stage": "running", "age_s": 1.0}
-                     for id, w in sorted(self.workers.items()) if w.tick]
+            hosts = [
+                {
+                    "uid": id,
+                    "addr": f"127.0.0.1:{w.server.port}",
+                    "hull": "m4",
+                    "yard": w.about["yard"],
+                    "lendable": w.about["lendable"],
+                    "stage": "running",
+                    "age_s": 1.0,
+                }
+                for id, w in sorted(self.workers.items())
+                if w.tick
+            ]
             return reply(200, {"hosts": hosts, "has_next": False})
         asked = decode_map(body)
         if path == "/machines":
             if asked["hire"] not in self.hires:
                 ids = [f"i-{next(self.names):06d}" for _ in range(min(asked["number"], 2))]
                 for id in ids:
-                    self.workers[id] = Worker(self, id, asked["hull"], asked["yard"],
-                                              asked["lendable"])
+                    self.workers[id] = Worker(
+                        self, id, asked["hull"], asked["yard"], asked["lendable"]
+                    )
                 self.hires[asked["hire"]] = ids
             return reply(200, {"hosts": self.hires[asked["hire"]]})
         for id in asked["hosts"]:
@@ -221,8 +257,12 @@
             await server.start("127.0.0.1", 0)
         self.api = api
         self.internal = free_port()
-        return SETTINGS.format(api=api, internal=self.internal, cloud=self.cloud.server.port,
-                               state=self.state.server.port)
+        return SETTINGS.format(
+            api=api,
+            internal=self.internal,
+            cloud=self.cloud.server.port,
+            state=self.state.server.port,
+        )
 
     async def stop(self) -> None:
         for worker in self.cloud.workers.values():
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -43,8 +43,11 @@
 
     def watched(member: str, effect: Any) -> tuple[int, Any]:
         result = serve(member, effect)
-        if (result[0] == 200 and isinstance(effect, t.Commit)
-                and any(v and v.get("stage") == "cancelled" for _, v, _ in effect.then)):
+        if (
+            result[0] == 200
+            and isinstance(effect, t.Commit)
+            and any(v and v.get("stage") == "cancelled" for _, v, _ in effect.then)
+        ):
             left[0] -= 1
             if left[0] == 0:
                 happens()
@@ -164,7 +167,7 @@
     world.state.refusing.update((owner, knowing))
     apart(world, owner, taker)
     assert world.withdraw(UID, taker) == "cancelled"
-    assert node_of(world, knowing).jobs.cancelled_since(Stamp(10 ** 6)) == [UID]
+    assert node_of(world, knowing).jobs.cancelled_since(Stamp(10**6)) == [UID]
     world.crash(taker)
     world.state.outage(True)
     gone_in_time(world)
@@ -189,13 +192,15 @@
     world.withdraw(UID, taker)
     assert job.stage == "cancelled" and not node.confirmations.certain(job)
     for _ in range(3):
-        node.handle(world.now, t.PeerSaid(Member(other), {"t": "knows", "uid": UID,
-                                                          "owner": False}))
+        node.handle(
+            world.now, t.PeerSaid(Member(other), {"t": "knows", "uid": UID, "owner": False})
+        )
     assert node.confirmations.certain(job) is (len(members) == 3)
     for member in members:
         if member not in (taker, owner, other):
-            node.handle(world.now, t.PeerSaid(Member(member), {"t": "knows", "uid": UID,
-                                                               "owner": False}))
+            node.handle(
+                world.now, t.PeerSaid(Member(member), {"t": "knows", "uid": UID, "owner": False})
+            )
     assert node.confirmations.certain(job)
 
 
@@ -222,7 +227,8 @@
 
 @BOTH
 def test_a_cancellation_whose_answer_was_lost_is_told_by_nobody_too_early(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     """It stands in the store, and whoever reads it obeys the same gate, on every path."""
     world, owner = running(members)
     taker, reader = [m for m in members if m != owner][:2]
@@ -244,14 +250,18 @@
 
 @BOTH
 def test_a_new_owner_commands_only_once_it_has_read_up_to_its_takeover(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     """What was cancelled before its transaction succeeded must be known to it."""
     world, owner = running(members)
     node = node_of(world, owner)
     share = node.scheduler.work[JobId(UID)].share
     assert node.shares.may_command(share)
-    node.store._change(node.shares.key(share),
-                       {"owner": owner, "inc": node.authority.inc}, Stamp(node.store.applied + 2))
+    node.store._change(
+        node.shares.key(share),
+        {"owner": owner, "inc": node.authority.inc},
+        Stamp(node.store.applied + 2),
+    )
     assert share in node.shares.mine and not node.shares.may_command(share)
     assert any(isinstance(e, t.Follow) for e in node.cx.out) or node.store._waiters
     node.store.applied = Stamp(node.store.applied + 2)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -15,8 +15,18 @@
 
 
 def listed(world: World) -> tuple[t.CloudMachine, ...]:
-    return tuple(t.CloudMachine(w.id, f"{w.id}:1", "m4", w.zone, w.spot,  # type: ignore[arg-type]
-                                "running", 9.0) for w in world.workers.values())
+    return tuple(
+        t.CloudMachine(
+            w.id,
+            f"{w.id}:1",
+            "m4",
+            w.zone,
+            w.spot,  # type: ignore[arg-type]
+            "running",
+            9.0,
+        )
+        for w in world.workers.values()
+    )
 
 
 def test_a_list_that_goes_back_loses_no_machine() -> None:
@@ -33,8 +43,13 @@
 
     def dropped(at: float) -> list[str]:
         node.rental.inventory._listed(listed(world)[1:], Instant(at))
-        return [k for e in node.cx.out if isinstance(e, t.Commit) for k, v, _ in e.then
-                if v == {"gone": True}]
+        return [
+            k
+            for e in node.cx.out
+            if isinstance(e, t.Commit)
+            for k, v, _ in e.then
+            if v == {"gone": True}
+        ]
 
     # Lists may be older still than they should be: one alone proves nothing, and no list makes a
     # machine gone whose worker is heard.
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,16 +14,20 @@
 GOOD = SETTINGS.format(api=1, internal=2, cloud=3, state=4)
 
 
-@pytest.mark.parametrize(("before", "after", "field"), [
-    ('member = "runner-0"', "", "member"),
-    ("lease_s = 3.0", 'lease_s = "long"', "settings.workers.lease_s"),
-    ("rps = 400.0", "rps = 0.0", "settings.state.rps"),
-    ("127.0.0.1:1", "127.0.0.1", "api_addr"),
-    ("nodes = 1", "nodes = 3", "settings.nodes"),
-    ("[settings]", "[settings", "file"),
-])
-def test_faults_of_the_platforms_file(tmp_path: Path, before: str, after: str, field: str,
-                                      capsys: pytest.CaptureFixture[str]) -> None:
+@pytest.mark.parametrize(
+    ("before", "after", "field"),
+    [
+        ('member = "runner-0"', "", "member"),
+        ("lease_s = 3.0", 'lease_s = "long"', "settings.workers.lease_s"),
+        ("rps = 400.0", "rps = 0.0", "settings.state.rps"),
+        ("127.0.0.1:1", "127.0.0.1", "api_addr"),
+        ("nodes = 1", "nodes = 3", "settings.nodes"),
+        ("[settings]", "[settings", "file"),
+    ],
+)
+def test_faults_of_the_platforms_file(
+    tmp_path: Path, before: str, after: str, field: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD.replace(before, after, 1))
     with pytest.raises(SettingsError) as caught:
@@ -33,11 +37,16 @@
     assert field in capsys.readouterr().err
 
 
-@pytest.mark.parametrize(("text", "part"), [
-    ("(runcourse (sample 1))", "sample"), ("(runcourse (colour 1))", "colour"),
-    ("(runcourse (sample 4) (sample 5))", "twice"), ("(other)", "expected"),
-    ("(runcourse (sync-every", "S-expression"),
-])
+@pytest.mark.parametrize(
+    ("text", "part"),
+    [
+        ("(runcourse (sample 1))", "sample"),
+        ("(runcourse (colour 1))", "colour"),
+        ("(runcourse (sample 4) (sample 5))", "twice"),
+        ("(other)", "expected"),
+        ("(runcourse (sync-every", "S-expression"),
+    ],
+)
 def test_faults_of_the_operators_file(tmp_path: Path, text: str, part: str) -> None:
     path = tmp_path / "o.sexp"
     path.write_text(text)
@@ -55,20 +64,31 @@
     assert main(["check-config", "--config", str(path), "--operators", str(operators)]) == 0
 
 
-@pytest.mark.parametrize(("install", "compiles", "works"), [
-    (0, 0, True), (0, 1, True), (1, 0, False)], ids=["good", "no byte code", "no install"])
-def test_a_failed_install_fails_the_build(tmp_path: Path, install: int, compiles: int,
-                                          works: bool) -> None:
+@pytest.mark.parametrize(
+    ("install", "compiles", "works"),
+    [(0, 0, True), (0, 1, True), (1, 0, False)],
+    ids=["good", "no byte code", "no install"],
+)
+def test_a_failed_install_fails_the_build(
+    tmp_path: Path, install: int, compiles: int, works: bool
+) -> None:
     """The compile step after it used to hide that."""
     build = tomllib.loads((ROOT / "deploy" / "service.toml").read_text("utf-8"))["build"]
     (tmp_path / "requirements.txt").write_text("", "utf-8")
     fake = tmp_path / "bin" / "python3"
     fake.parent.mkdir()
-    fake.write_text('#!/bin/sh\ncase "$*" in\n'
-                    f'*"pip install"*) mkdir -p target/deps; exit {install};;\n'
-                    f'*) exit {compiles};;\nesac\n', "utf-8")
+    fake.write_text(
+        '#!/bin/sh\ncase "$*" in\n'
+        f'*"pip install"*) mkdir -p target/deps; exit {install};;\n'
+        f"*) exit {compiles};;\nesac\n",
+        "utf-8",
+    )
     fake.chmod(0o755)
     for _ in range(2):  # the second time as well: a half-made folder is no success
-        ended = subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=False,
-                               env={"PATH": f"{fake.parent}:/usr/bin:/bin", "PWD": str(tmp_path)})
+        ended = subprocess.run(
+            ["/bin/sh", "-c", build],
+            cwd=tmp_path,
+            check=False,
+            env={"PATH": f"{fake.parent}:/usr/bin:/bin", "PWD": str(tmp_path)},
+        )
         assert (ended.returncode == 0) is works
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -22,7 +22,8 @@
     world.until(lambda: world.poll("j-000001", "n2") == "done", 20)
     world.run(10)
     assert {m: world.poll("j-000001", m) for m in ("n0", "n1", "n2")} == dict.fromkeys(
-        ("n0", "n1", "n2"), "done")
+        ("n0", "n1", "n2"), "done"
+    )
     assert len(world.starts) == 3
     assert not world.broken
 
@@ -254,5 +255,7 @@
     node = world.nodes["n0"]
     assert node is not None and node.shares.mine
     assert "rc/mapping" not in world.state.data
-    assert all(node.shares.of_team(Team(name)) == zlib.crc32(name.encode()) % 3
-               for name in ("team-0", "team-1", "team-2", "team-3"))
+    assert all(
+        node.shares.of_team(Team(name)) == zlib.crc32(name.encode()) % 3
+        for name in ("team-0", "team-1", "team-2", "team-3")
+    )
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -20,10 +20,27 @@
 from runcourse.wire.messages import decode_map, encode
 
 JOB: dict[str, Any] = {
-    "uid": "j-000001", "lane": "x", "crew": "crew-0", "shape": "batch", "rank": "normal",
-    "legs": 3, "vcpus": 2.0, "gpus": 0.0, "ram_gb": 4.0, "kit": "img", "pull_gb": 0.1,
-    "hulls": None, "yard": None, "together": False, "spread": False, "lendable": False,
-    "guess_s": 1.0, "mark_every_s": 0.0, "mark_cost_s": 0.0, "due_s": None}
+    "uid": "j-000001",
+    "lane": "x",
+    "crew": "crew-0",
+    "shape": "batch",
+    "rank": "normal",
+    "legs": 3,
+    "vcpus": 2.0,
+    "gpus": 0.0,
+    "ram_gb": 4.0,
+    "kit": "img",
+    "pull_gb": 0.1,
+    "hulls": None,
+    "yard": None,
+    "together": False,
+    "spread": False,
+    "lendable": False,
+    "guess_s": 1.0,
+    "mark_every_s": 0.0,
+    "mark_cost_s": 0.0,
+    "due_s": None,
+}
 
 Ask = Callable[..., Awaitable[tuple[int, dict[str, Any]]]]
 
@@ -74,7 +91,9 @@
 def test_jobs_run_on_hired_machines(tmp_path: Path) -> None:
     async def story(service: Service) -> None:
         assert await service.ask("POST", "/v1/jobs", JOB) == (
-            201, {"uid": "j-000001", "stage": "queued"})
+            201,
+            {"uid": "j-000001", "stage": "queued"},
+        )
         done = await service.until("/v1/jobs/j-000001", "stage", "done")
         assert done["done"] == 3 and done["running"] == 0
         assert (await service.ask("POST", "/v1/jobs", JOB))[0] == 200
@@ -92,20 +111,35 @@
         status, answer = await service.ask("POST", "/v1/jobs/j-000002/withdraw", {})
         assert (status, answer["stage"]) == (200, "cancelled")
         async with asyncio.timeout(5):
-            while any(leg["stage"] == "running" for w in service.standins.cloud.workers.values()
-                      for leg in w.legs.values()):
+            while any(
+                leg["stage"] == "running"
+                for w in service.standins.cloud.workers.values()
+                for leg in w.legs.values()
+            ):
                 await asyncio.sleep(0.05)
 
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize(("change", "status"), [
-    ({"legs": 0}, 400), ({"legs": 100_001}, 400), ({"legs": "3"}, 400), ({"vcpus": -1.0}, 400),
-    ({"vcpus": float("nan")}, 400), ({"ram_gb": float("inf")}, 400), ({"shape": "odd"}, 400),
-    ({"rank": "top"}, 400), ({"uid": "job-1"}, 400), ({"crew": None}, 400),
-    ({"crew": "nobody"}, 422), ({"vcpus": 5.0}, 422), ({"hulls": ["g9"]}, 422),
-    ({"shape": "service", "legs": 9}, 422),
-])
+@pytest.mark.parametrize(
+    ("change", "status"),
+    [
+        ({"legs": 0}, 400),
+        ({"legs": 100_001}, 400),
+        ({"legs": "3"}, 400),
+        ({"vcpus": -1.0}, 400),
+        ({"vcpus": float("nan")}, 400),
+        ({"ram_gb": float("inf")}, 400),
+        ({"shape": "odd"}, 400),
+        ({"rank": "top"}, 400),
+        ({"uid": "job-1"}, 400),
+        ({"crew": None}, 400),
+        ({"crew": "nobody"}, 422),
+        ({"vcpus": 5.0}, 422),
+        ({"hulls": ["g9"]}, 422),
+        ({"shape": "service", "legs": 9}, 422),
+    ],
+)
 def test_bad_submissions_are_told_so(tmp_path: Path, change: dict[str, Any], status: int) -> None:
     async def story(service: Service) -> None:
         got, _ = await service.ask("POST", "/v1/jobs", {**JOB, **change})
@@ -128,8 +162,9 @@
         port = service.standins.api
         assert (await service.client.request("POST", "/v1/jobs", b"\xc1", 5))[0] == 400
         assert (await service.client.request("POST", "/v1/jobs", encode([1]), 5))[0] == 400
-        assert (await service.client.request("POST", "/agent/beat", encode({"host": 3}), 5)
-                )[0] == 400
+        assert (await service.client.request("POST", "/agent/beat", encode({"host": 3}), 5))[
+            0
+        ] == 400
         assert (await service.ask("GET", "/nothing"))[0] == 404
         assert (await service.ask("DELETE", "/v1/jobs"))[0] == 405
         assert (await raw(port, b"no http at all\r\n\r\n")).startswith(b"HTTP/1.1 400")
@@ -194,6 +229,7 @@
 
 def test_what_fails_outside_the_core_is_an_outcome_all_the_same(tmp_path: Path) -> None:
     """Whatever a call ends with, who asked for it hears so; else it would wait for ever."""
+
     async def story(service: Service) -> None:
         async def fails() -> Any:
             raise RuntimeError("unable to perform operation")
@@ -214,11 +250,20 @@
         job = {**JOB, "uid": "j-000003", "shape": "service", "legs": 1}
         assert (await service.ask("POST", "/v1/jobs", job))[0] == 201
         await service.until("/v1/jobs/j-000003", "running", 1)
-        assert (await service.ask("POST", "/v1/jobs", {**JOB, "uid": "j-000004", "legs": 50,
-                                                       "vcpus": 4.0}))[0] == 201
+        assert (
+            await service.ask(
+                "POST", "/v1/jobs", {**JOB, "uid": "j-000004", "legs": 50, "vcpus": 4.0}
+            )
+        )[0] == 201
         # A gang that no machine has room for as a whole, and within its team's limit.
-        gang = {**JOB, "uid": "j-000005", "shape": "ensemble", "legs": 2, "vcpus": 4.0,
-                "together": True}
+        gang = {
+            **JOB,
+            "uid": "j-000005",
+            "shape": "ensemble",
+            "legs": 2,
+            "vcpus": 4.0,
+            "together": True,
+        }
         assert (await service.ask("POST", "/v1/jobs", gang))[0] == 201
         status = await ask_status(service.standins.internal)
         assert status["versions"] == {"runner-0": 2}
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -23,8 +23,12 @@
 
 def bare_machine(id: str = "i-1") -> Machine:
     record = Record(ShareNo(0), "m4", "a", False, False, 5)  # type: ignore[arg-type]
-    machine = Machine(id, record, Holding(ShareNo(0), 1, Instant(0.0)),  # type: ignore[arg-type]
-                      Instant(0.0))
+    machine = Machine(
+        id,
+        record,
+        Holding(ShareNo(0), 1, Instant(0.0)),  # type: ignore[arg-type]
+        Instant(0.0),
+    )
     machine.set_type(TYPE)
     return machine
 
@@ -95,14 +99,23 @@
     waiting = Job(spec("j-000001", rank=1, team="team-1"), 1)  # type: ignore[arg-type]
     other = Job(spec("j-000002", rank=1, team="team-0", tasks=3), 1)  # type: ignore[arg-type]
     machine = bare_machine()
-    placements = [Placement((other.uid, n), 1, machine, other,  # type: ignore[arg-type]
-                            Instant(0.0)) for n in range(3)]
+    placements = [
+        Placement(
+            (other.uid, n),
+            1,
+            machine,
+            other,  # type: ignore[arg-type]
+            Instant(0.0),
+        )
+        for n in range(3)
+    ]
     for placement in placements:
         quota.add(placement)  # 6 CPUs
     assert quota.may_stop(waiting, True, placements[0])
     assert not quota.may_stop(waiting, False, placements[0])
     assert not quota.may_stop(waiting, True, placements[1], stopping=Size(2, 4)), (
-        "with 2 CPUs being stopped already the team is down to its guarantee")
+        "with 2 CPUs being stopped already the team is down to its guarantee"
+    )
     assert quota.guaranteed_count(waiting) == 2
 
 
@@ -241,8 +254,9 @@
     world.submit(spec("j-000081", tasks=1, estimate_s=2.5))
     world.until(lambda: len(world.on_machines()) == 2, 10)
     for worker in world.workers.values():
-        if any(task.job in ("j-000080", "j-000081") for task, w in world.on_machines()
-               if w is worker):
+        if any(
+            task.job in ("j-000080", "j-000081") for task, w in world.on_machines() if w is worker
+        ):
             worker.notice_s = 8.0
     world.run(2.0)
     where = {task.job: worker for task, worker in world.on_machines()}
@@ -281,11 +295,13 @@
     """New replicas fetched for 5 s beside machines that held their image, full of arrays."""
     from runcourse.config import Objective
 
-    world = World(machines=4, cpus_max=100.0,
-                  objectives=(Objective("wait", "web", 0.9, None, 3.0),))
+    world = World(
+        machines=4, cpus_max=100.0, objectives=(Objective("wait", "web", 0.9, None, 3.0),)
+    )
     world.run(4.0)
-    world.submit(spec("j-000100", service=True, tasks=1, lane="web", rank=0, image="app",
-                      image_gb=9.0))
+    world.submit(
+        spec("j-000100", service=True, tasks=1, lane="web", rank=0, image="app", image_gb=9.0)
+    )
     world.until(lambda: len(world.on_machines()) == 1, 15)
     held = world.on_machines()[0][1].id
     world.submit(spec("j-000101", tasks=1, estimate_s=60.0))
@@ -296,8 +312,9 @@
         world.submit(spec("j-000102", tasks=1, estimate_s=60.0))
         world.run(2.0)
     before = len(world.starts)
-    world.submit(spec("j-000103", service=True, tasks=1, lane="web", rank=0, image="app",
-                      image_gb=9.0))
+    world.submit(
+        spec("j-000103", service=True, tasks=1, lane="web", rank=0, image="app", image_gb=9.0)
+    )
     world.until(lambda: any(task.job == "j-000103" for task, _ in world.on_machines()), 10)
     start = next(s for s in world.starts[before:] if s[1].job == "j-000103")
     assert start[2] == held and not world.broken
@@ -314,7 +331,8 @@
     node = next(n for n in world.nodes.values() if n is not None)
     share = node.shares.of_team("team-2")  # type: ignore[arg-type]
     world.submit(spec("j-000112", service=True, tasks=4, team="team-2", rank=0))
-    world.until(lambda: len([1 for task, _ in world.on_machines()
-                             if task.job == "j-000112"]) == 4, 20)
+    world.until(
+        lambda: len([1 for task, _ in world.on_machines() if task.job == "j-000112"]) == 4, 20
+    )
     assert sum(r.share == share for r in node.fleet.records.values()) >= 2
     assert not world.broken
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -19,8 +19,14 @@
 
 
 def gang(uid: str = UID, tasks: int = 4, **changes: Any) -> Any:
-    values: dict[str, Any] = {"gang": True, "together": True, "team": "team-1", "estimate_s": 12.0,
-                              "checkpoint_s": 4.0, "save_s": 1.0}
+    values: dict[str, Any] = {
+        "gang": True,
+        "together": True,
+        "team": "team-1",
+        "estimate_s": 12.0,
+        "checkpoint_s": 4.0,
+        "save_s": 1.0,
+    }
     values.update(changes)
     return spec(uid, tasks=tasks, **values)
 
@@ -47,8 +53,9 @@
 
 
 def stages(world: World, uid: str = UID) -> set[str]:
-    return {e[0] for w in world.workers.values() for (task, _), e in w.tasks.items()
-            if task.job == uid}
+    return {
+        e[0] for w in world.workers.values() for (task, _), e in w.tasks.items() if task.job == uid
+    }
 
 
 def runs(world: World, uid: str = UID) -> int:
@@ -120,8 +127,11 @@
 
 
 def node_of_team(world: World) -> Node:
-    return next(n for n in world.nodes.values() if n is not None
-                and n.shares.of_team("team-1") in n.shares.mine)  # type: ignore[arg-type]
+    return next(
+        n
+        for n in world.nodes.values()
+        if n is not None and n.shares.of_team("team-1") in n.shares.mine
+    )  # type: ignore[arg-type]
 
 
 def test_a_whole_gang_keeps_to_its_team_s_limit() -> None:
@@ -177,8 +187,9 @@
     node = node_of_team(world)
     share = node.shares.of_team("team-1")  # type: ignore[arg-type]
     by_zone: dict[str, set[int]] = {}
-    for machine in (m for n in world.nodes.values() if n is not None
-                    for m in n.fleet.machines.values()):
+    for machine in (
+        m for n in world.nodes.values() if n is not None for m in n.fleet.machines.values()
+    ):
         by_zone.setdefault(machine.record.zone, set()).add(machine.share.number)
     assert all(len(shares) == 2 for shares in by_zone.values()), "none has a zone's machines alone"
     assert any(share in shares for shares in by_zone.values())
@@ -209,12 +220,14 @@
 
 @BOTH
 def test_a_task_lost_before_the_start_is_replaced_under_the_same_attempt(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = fresh(members)
     world.fetch_s = 3.0
     world.submit(gang(tasks=3, spread=False))
-    world.until(lambda: any(task.job == UID for w in world.workers.values()
-                            for task, _ in w.tasks), 5)
+    world.until(
+        lambda: any(task.job == UID for w in world.workers.values() for task, _ in w.tasks), 5
+    )
     world.run(1.0)
     attempt = work_of(world).attempt
     victim = next(w for w in world.workers.values() if any(k[0].job == UID for k in w.tasks))
@@ -237,8 +250,9 @@
     work.started = False
     for mate in node.fleet.of_job(UID):  # type: ignore[arg-type]
         mate.stage = "waiting"
-    node.fleet._listed(placement.machine, t.TaskReport(placement.task, placement.attempt,
-                                                       "ended", "incomplete"))
+    node.fleet._listed(
+        placement.machine, t.TaskReport(placement.task, placement.attempt, "ended", "incomplete")
+    )
     assert work.ending and work.not_before > node.cx.now and work.incomplete == 1
     assert any(isinstance(e, t.Log) and "not there" in e.text for e in node.cx.out)
     assert not any(node.cx.now < m.quarantined_until for m in node.fleet.machines.values())
@@ -356,8 +370,9 @@
     world, node, members = after(2.5)
     node.scheduler.gangs.stop(members[0])
     first = members[0]
-    node.fleet._listed(first.machine, t.TaskReport(first.task, first.attempt, "ended", "stopped",
-                                                   True))
+    node.fleet._listed(
+        first.machine, t.TaskReport(first.task, first.attempt, "ended", "stopped", True)
+    )
     assert not first.active
     assert all(p.grace_s == 1.0 and not p.forced for p in members[1:])
     # A cancellation has no time for that.
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,8 +19,18 @@
 
 
 def message(machine: Machine, session: int, seq: int, *tasks: t.TaskReport) -> t.Report:
-    return t.Report(machine.id, machine.addr, "m4", machine.record.zone, False, Session(session),
-                    seq, machine.token, None, tasks)
+    return t.Report(
+        machine.id,
+        machine.addr,
+        "m4",
+        machine.record.zone,
+        False,
+        Session(session),
+        seq,
+        machine.token,
+        None,
+        tasks,
+    )
 
 
 def test_an_older_message_changes_nothing() -> None:
@@ -54,8 +64,12 @@
 
 def test_a_finish_is_cleared_only_once_it_is_stored() -> None:
     node, machine = owner_of_some(ready())
-    job = node.jobs.apply_job("j-000003", job_value(spec("j-000003"), "accepted"), 9,  # type: ignore[arg-type]
-                              0.0)
+    job = node.jobs.apply_job(
+        "j-000003",
+        job_value(spec("j-000003"), "accepted"),
+        9,  # type: ignore[arg-type]
+        0.0,
+    )
     placement = Placement(TaskId(job.uid, 1), Attempt(1), machine, job, Instant(0.0))
     placement.stage, placement.cause, placement.seen = "ended", "done", True
     machine.placements[(placement.task, placement.attempt)] = placement
@@ -106,10 +120,10 @@
     world.run(4.0)
     world.submit(spec("j-000009", tasks=2, service=True, cpus=1.0))
     world.until(lambda: len(world.on_machines()) == 2, 10)
-    node = next(n for n in world.nodes.values()
-                if n is not None and n.scheduler.work)
-    holding = next(h for h in node.shares.mine.values()
-                   if h.number == node.shares.of_team("team-0"))  # type: ignore[arg-type]
+    node = next(n for n in world.nodes.values() if n is not None and n.scheduler.work)
+    holding = next(
+        h for h in node.shares.mine.values() if h.number == node.shares.of_team("team-0")
+    )  # type: ignore[arg-type]
     # As after a takeover: nothing is located yet.
     holding.settled = False
     hiding = node.fleet.of_share(holding.number)[-1]
@@ -133,7 +147,8 @@
     node.scheduler._turn(holding)
     assert TaskId(later.uid, 0) in node.fleet.where, [
         (m.id, m.room, node.fleet.usable(m), node.scheduler.work[later.uid].waits)
-        for m in node.fleet.of_share(holding.number)]
+        for m in node.fleet.of_share(holding.number)
+    ]
 
 
 def test_cancelled_tasks_that_cannot_be_located_count_against_the_limit() -> None:
@@ -176,8 +191,10 @@
     inc = node.authority.live_inc(other)
 
     def vouches() -> bool:
-        said = node.handle(node.cx.now, t.PeerSaid(other, {
-            "t": "vouch?", "inc": inc, "n": 1, "applied": node.store.applied}))
+        said = node.handle(
+            node.cx.now,
+            t.PeerSaid(other, {"t": "vouch?", "inc": inc, "n": 1, "applied": node.store.applied}),
+        )
         return any(isinstance(e, t.Say) and e.message.get("ok") for e in said)
 
     node.store.failing = True
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -71,8 +71,7 @@
 
 
 def owner_of_job(world: World, uid: str) -> str:
-    return next(m for m, n in world.nodes.items()
-                if n is not None and uid in n.scheduler.work)  # type: ignore[comparison-overlap]
+    return next(m for m, n in world.nodes.items() if n is not None and uid in n.scheduler.work)  # type: ignore[comparison-overlap]
 
 
 def test_a_mistaken_job_sets_no_machine_aside_and_holds_no_room() -> None:
@@ -113,8 +112,13 @@
     for n in range(4):
         world.submit(spec(f"j-00021{n}", tasks=12, team=f"team-{n}", estimate_s=1.0))
     world.run(25.0)
-    aside = {m.id for node in world.nodes.values() if node is not None
-             for m in node.fleet.machines.values() if node.cx.now < m.quarantined_until}
+    aside = {
+        m.id
+        for node in world.nodes.values()
+        if node is not None
+        for m in node.fleet.machines.values()
+        if node.cx.now < m.quarantined_until
+    }
     assert aside == {"i-000002"}
     for n in range(4):
         assert world.poll(f"j-00021{n}") == "done"
@@ -187,8 +191,16 @@
     for n in range(MOST_LISTED):
         node.fleet.place(job, n, machine, machine.share.next_attempt())
     assert not node.fleet.usable(machine)
-    assert len(encode(commands(machine.token, machine.session,
-                               node.fleet.orders(machine, answering=False)))) < 48 * 1024
+    assert (
+        len(
+            encode(
+                commands(
+                    machine.token, machine.session, node.fleet.orders(machine, answering=False)
+                )
+            )
+        )
+        < 48 * 1024
+    )
     node.fleet.pace(machine)
     assert machine.do_after >= node.cx.now + 1.0
     quick = next(m for m in node.fleet.machines.values() if m is not machine)
