--- a/tests/test_nights.py
+++ b/tests/test_nights.py
@@ -30,8 +30,13 @@
 
 def owners(world: World) -> Counter[str]:
     """How many controllers command each share."""
-    return Counter(f"share {s}" for n in world.nodes.values() if n is not None
-                   for s in n.shares.mine if n.shares.may_command(s))
+    return Counter(
+        f"share {s}"
+        for n in world.nodes.values()
+        if n is not None
+        for s in n.shares.mine
+        if n.shares.may_command(s)
+    )
 
 
 @BOTH
@@ -164,7 +169,8 @@
 
 @BOTH
 def test_after_the_troubles_every_job_is_answered_for_by_every_controller(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     """No accepted job may go without an answer for 75 s once they are over."""
     world = busy(members)
     for m in members[:2]:
@@ -214,15 +220,23 @@
 def test_a_guest_below_everything_begins_on_a_full_fleet() -> None:
     """The largest too, within four minutes, behind a steady stream of work that ranks higher."""
     world = ready(machines=3, cpus_max=100.0)
-    world.submit(spec("j-000700", tasks=200, team="team-3", rank=3, cpus=0.25, memory=0.5,
-                      estimate_s=4.0))
+    world.submit(
+        spec("j-000700", tasks=200, team="team-3", rank=3, cpus=0.25, memory=0.5, estimate_s=4.0)
+    )
     number = 800
     end = world.now + 240.0
     while world.now < end and not any(s[1].job == "j-000700" for s in world.starts):
         for team in range(4):
             number += 1
-            job = spec(f"j-{number:06d}", tasks=4, team=f"team-{team}", rank=1, cpus=2.0,
-                       estimate_s=2.0, deadline_s=30.0)
+            job = spec(
+                f"j-{number:06d}",
+                tasks=4,
+                team=f"team-{team}",
+                rank=1,
+                cpus=2.0,
+                estimate_s=2.0,
+                deadline_s=30.0,
+            )
             world.specs[job.uid] = job
             world.ask("user", "n0", t.Submit(0, job.uid, job), lambda answer: None)
         world.run(1.0)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -25,8 +25,9 @@
 @BOTH
 @pytest.mark.parametrize("kind", ["freeze", "stall"])
 @pytest.mark.parametrize("seconds", [0.8, 3.0, 20.0])
-def test_a_node_that_stood_still_breaks_nothing(members: tuple[str, ...], kind: str,
-                                                seconds: float) -> None:
+def test_a_node_that_stood_still_breaks_nothing(
+    members: tuple[str, ...], kind: str, seconds: float
+) -> None:
     world, owner = with_service(members)
     other = next(m for m in members if m != owner)
     getattr(world, kind)(owner, seconds)
@@ -43,15 +44,17 @@
 
 @BOTH
 def test_a_lease_taken_over_meanwhile_is_noticed_before_anything_is_commanded(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world, owner = with_service(members)
     node = world.nodes[owner]
     assert node is not None
     shares = set(node.shares.mine)
     world.freeze(owner, 12.0)
     world.run(11.0)
-    taken = {s for m, n in world.nodes.items() if n is not None and m != owner
-             for s in n.shares.mine}
+    taken = {
+        s for m, n in world.nodes.items() if n is not None and m != owner for s in n.shares.mine
+    }
     assert shares <= taken
     # Before any input tells of it: it concludes nothing about leases that another renewed.
     held = list(node.fleet.where)
@@ -92,8 +95,9 @@
         assert node is not None
         for machine in list(node.fleet.machines.values()):
             report = world.workers[machine.id].report()
-            beaten = next(e for e in node.handle(world.now, t.Beat(-1, report))
-                          if isinstance(e, t.AnswerBeat))
+            beaten = next(
+                e for e in node.handle(world.now, t.Beat(-1, report)) if isinstance(e, t.AnswerBeat)
+            )
             assert beaten.status == 200
             assert beaten.until == node.authority.end() < world.now + node.authority.ttl
         seen: list[t.Answer] = []
@@ -107,8 +111,13 @@
     store: Store = world.nodes["n0"].store  # type: ignore[union-attr]
     store._paused_until = Instant(world.now + 5.0)
     results: list[str] = []
-    store.commit([], [("rc/x", 1, None)], lambda result, stamp: results.append(result),
-                 Store.USER, Instant(world.now + 3.0))
+    store.commit(
+        [],
+        [("rc/x", 1, None)],
+        lambda result, stamp: results.append(result),
+        Store.USER,
+        Instant(world.now + 3.0),
+    )
     world.run(2.0)
     assert not results and store.backlog > 0
     world.run(1.2)
@@ -127,6 +136,9 @@
     world.until(lambda: world.poll("j-000503", other) == "done", 60)
     world.run(12.0)
     assert not world.broken
-    records = {k for k in world.state.data if k.startswith("rc/machine/")
-               and not world.state.data[k][0].get("gone")}
+    records = {
+        k
+        for k in world.state.data
+        if k.startswith("rc/machine/") and not world.state.data[k][0].get("gone")
+    }
     assert records == {"rc/machine/" + id for id in world.workers}, "used or returned"
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -7,16 +7,51 @@
 
 from runcourse.core import types as t
 
-ACTIONS = ("submit", "service", "spread", "cancel", "crash", "crash_all", "blink", "outage",
-           "refuse", "cut_worker", "hold_worker", "cut_node", "cut_peers", "hang", "die", "lossy",
-           "held", "poll", "deaf", "many_deaf", "echo", "alone", "blink_machine", "freeze",
-           "stall", "late_writes", "all_refused", "mistaken", "cut_two", "lost_answers",
-           "close_looks", "mute", "many_mute", "kept", "cancel_at_end", "cancel_handover",
-           "gang", "big_gang", "stop_gang")
+ACTIONS = (
+    "submit",
+    "service",
+    "spread",
+    "cancel",
+    "crash",
+    "crash_all",
+    "blink",
+    "outage",
+    "refuse",
+    "cut_worker",
+    "hold_worker",
+    "cut_node",
+    "cut_peers",
+    "hang",
+    "die",
+    "lossy",
+    "held",
+    "poll",
+    "deaf",
+    "many_deaf",
+    "echo",
+    "alone",
+    "blink_machine",
+    "freeze",
+    "stall",
+    "late_writes",
+    "all_refused",
+    "mistaken",
+    "cut_two",
+    "lost_answers",
+    "close_looks",
+    "mute",
+    "many_mute",
+    "kept",
+    "cancel_at_end",
+    "cancel_handover",
+    "gang",
+    "big_gang",
+    "stop_gang",
+)
 
 
 def close_look(world: World, k: int) -> None:
-    for uid in sorted(world.told)[k % 3::3]:
+    for uid in sorted(world.told)[k % 3 :: 3]:
         for m in world.members:
             if world.told[uid] == "unknown" or k % 2:
                 send(world, m, t.Poll(0, uid))
@@ -59,10 +94,21 @@
     elif action == "spread":
         world.submit(spec(uid, tasks=2, team=team, service=True, spread=True, rank=0), member)
     elif action in ("gang", "big_gang"):
-        world.submit(spec(uid, tasks=2 + pick % 3, team=team, gang=True, together=pick % 2 == 0,
-                          cpus=1.0 if action == "gang" else 2.0, memory=2.0,
-                          checkpoint_s=1.5 if pick % 3 else 0.0, save_s=0.3, estimate_s=4.0),
-                     member)
+        world.submit(
+            spec(
+                uid,
+                tasks=2 + pick % 3,
+                team=team,
+                gang=True,
+                together=pick % 2 == 0,
+                cpus=1.0 if action == "gang" else 2.0,
+                memory=2.0,
+                checkpoint_s=1.5 if pick % 3 else 0.0,
+                save_s=0.3,
+                estimate_s=4.0,
+            ),
+            member,
+        )
     elif action == "stop_gang":  # as for a replica, or a machine that is emptied
         for node in world.nodes.values():
             for work in list(node.scheduler.work.values()) if node is not None else ():
@@ -160,15 +206,23 @@
     elif action == "cancel_at_end" and world.finished:
         job = sorted(world.finished)[pick % len(world.finished)].job
         for k, m in enumerate(members):
-            world.after(0.01 * k, lambda m=m, job=job: send(  # type: ignore[misc]
-                world, m, t.Withdraw(0, job)))
+            world.after(
+                0.01 * k,
+                lambda m=m, job=job: send(  # type: ignore[misc]
+                    world, m, t.Withdraw(0, job)
+                ),
+            )
     elif action == "cancel_handover":  # while one node's work goes to others and comes back
         if world.nodes[member] is not None:
             world.crash(member)
             world.after(1.0 + pick % 8, lambda: world.start(member))
-        for k, job in enumerate(sorted(world.told)[pick % 4::4]):
-            world.after(0.4 * k, lambda k=k, job=job: send(  # type: ignore[misc]
-                world, members[(pick + k) % len(members)], t.Withdraw(0, job)))
+        for k, job in enumerate(sorted(world.told)[pick % 4 :: 4]):
+            world.after(
+                0.4 * k,
+                lambda k=k, job=job: send(  # type: ignore[misc]
+                    world, members[(pick + k) % len(members)], t.Withdraw(0, job)
+                ),
+            )
     elif action == "freeze":
         world.freeze(member, 0.4 + pick / 4)
     elif action == "stall":
@@ -181,15 +235,23 @@
 
 steps = st.lists(
     st.tuples(st.sampled_from(ACTIONS), st.integers(0, 40), st.floats(0.05, 4.0)),
-    min_size=6, max_size=22)
+    min_size=6,
+    max_size=22,
+)
 
 
-@settings(max_examples=100, deadline=None, derandomize=True, database=None,
-          phases=(Phase.explicit, Phase.generate),  # shrinking whole stories takes too long for CI
-          suppress_health_check=list(HealthCheck))
+@settings(
+    max_examples=100,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    phases=(Phase.explicit, Phase.generate),  # shrinking whole stories takes too long for CI
+    suppress_health_check=list(HealthCheck),
+)
 @given(steps, st.integers(0, 1000), st.sampled_from((MEMBERS, FIVE)))
-def test_rules_hold_whatever_fails(script: list[tuple[str, int, float]], seed: int,
-                                   members: tuple[str, ...]) -> None:
+def test_rules_hold_whatever_fails(
+    script: list[tuple[str, int, float]], seed: int, members: tuple[str, ...]
+) -> None:
     world = World(seed=seed, machines=5, members=members, cpus_max=8.0)
     world.run(2.0)
     for number, (action, pick, pause) in enumerate(script):
@@ -218,6 +280,8 @@
         assert stage != "?"
         endless = world.specs[uid].service or uid in world.mistaken
         if not endless and told not in ("cancelled", "unknown"):
-            world.until(lambda uid=uid: world.poll(uid) in ("done", "cancelled"),  # type: ignore[misc]
-                        90)
+            world.until(
+                lambda uid=uid: world.poll(uid) in ("done", "cancelled"),  # type: ignore[misc]
+                90,
+            )
     assert not world.broken
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -30,8 +30,7 @@
     for number, m in enumerate(machines):
         for image in ("a", "b") if number < 2 else ("c", "d"):
             m.images[image] = 1.0
-    works = [waiting(share.number, image, n, deadline_s=10.0 + n)
-             for n, image in enumerate("cdab")]
+    works = [waiting(share.number, image, n, deadline_s=10.0 + n) for n, image in enumerate("cdab")]
     plenty = scheduler._plentiful(share, works, lambda: machines, machines)
     assert plenty == {"a", "b", "c", "d"}
     scheduler._held.clear()
@@ -71,8 +70,11 @@
         world.submit(spec(f"j-00080{number}", tasks=tasks, team=team, estimate_s=3.0))
 
     def machines(share: int) -> int:
-        return sum(1 for key, (value, _, _) in world.state.data.items()
-                   if key.startswith("rc/machine/") and value.get("share") == share)
+        return sum(
+            1
+            for key, (value, _, _) in world.state.data.items()
+            if key.startswith("rc/machine/") and value.get("share") == share
+        )
 
     before = machines(much)
     world.run(25.0)
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -27,8 +27,9 @@
 from runcourse.core.work import Work
 
 BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
-mixed = pytest.mark.skipif(production.checkout() is None,
-                           reason="the history of the version in production is not here")
+mixed = pytest.mark.skipif(
+    production.checkout() is None, reason="the history of the version in production is not here"
+)
 LEAST = 2048  # bytes of a value, the least that any deployment has announced
 LEAST_OPS = 8
 
@@ -69,17 +70,21 @@
     starts = len(world.starts)
     step = 2 if order == "two at a time" and len(members) == 5 else 1
     for n in range(0, len(turns), step):
-        for member in turns[n:n + step]:
+        for member in turns[n : n + step]:
             back(world, member, 1.0, new=True)
         for k in range(5):
-            submit(world, spec(f"j-0001{n}{k}", tasks=2, team=f"team-{k % 4}", estimate_s=1.5),
-                   members[(n + k) % len(members)])
+            submit(
+                world,
+                spec(f"j-0001{n}{k}", tasks=2, team=f"team-{k % 4}", estimate_s=1.5),
+                members[(n + k) % len(members)],
+            )
             world.run(2.0)
         assert not world.broken
     assert not world.former
     world.until(lambda: noted(world), 10)
-    again = {x for x, w in world.on_machines()
-             if any(x == task for _, task, _ in world.starts[starts:])}
+    again = {
+        x for x, w in world.on_machines() if any(x == task for _, task, _ in world.starts[starts:])
+    }
     assert not {x for x in again if str(x.job) < "j-000020"}, "nothing that ran was started anew"
     calm(world)
 
@@ -191,8 +196,11 @@
             world.cut.update(pairs)
             world.after(4.0, lambda pairs=pairs: world.cut.difference_update(pairs))  # type: ignore[misc]
         for k in range(4):
-            submit(world, spec(f"j-0002{n}{k}", tasks=2, team=f"team-{k}", estimate_s=2.0),
-                   members[k % len(members)])
+            submit(
+                world,
+                spec(f"j-0002{n}{k}", tasks=2, team=f"team-{k}", estimate_s=2.0),
+                members[k % len(members)],
+            )
             send(world, members[(k + 1) % len(members)], t.Withdraw(0, f"j-00001{k}"))
             world.run(2.0)
     calm(world)
@@ -239,7 +247,10 @@
     shares = {node.shares.of_team(f"team-{n}") for n in range(4)}  # type: ignore[arg-type]
     assert shares == {0, 1, 2}, "dealt as that version dealt them"
     assert sorted(s for n in world.nodes.values() if n is not None for s in n.shares.mine) == [
-        0, 1, 2], "the shares of its processes are taken at once"
+        0,
+        1,
+        2,
+    ], "the shares of its processes are taken at once"
 
 
 @mixed
@@ -258,23 +269,30 @@
     # A part, too, as of a job whose pages are too large: not read, so started anew at worst.
     world.state.epoch += 1
     world.state.data["rc/part/j-000002/0"] = ({"bits": "ff"}, world.state.epoch, None)
-    former: Any = production.Former(platform("n0"), Operators(), random.Random(1),
-                                    Instant(world.now))
+    former: Any = production.Former(
+        platform("n0"), Operators(), random.Random(1), Instant(world.now)
+    )
     data = [(k, v, s) for k, (v, s, _) in sorted(world.state.data.items())]
     tag = former.node.store._read
     former.node.store._reading = True
-    tag(former.types.Outcome(None, 200, (data, world.state.epoch), began=world.now),
-        Instant(world.now), [])
+    tag(
+        former.types.Outcome(None, 200, (data, world.state.epoch), began=world.now),
+        Instant(world.now),
+        [],
+    )
     assert former.store.ready
     for uid in ("j-000001", "j-000002", "j-000003", "j-000004"):
         mine, its = new.jobs.get(JobId(uid)), former.jobs.get(uid)
         assert mine is not None and its.stage == mine.stage
         assert json.dumps(job_value(mine.spec, "")["spec"]) == json.dumps(
-            production.modules()["jobs"].job_value(its.spec, "")["spec"])  # type: ignore[index]
+            production.modules()["jobs"].job_value(its.spec, "")["spec"]
+        )  # type: ignore[index]
     assert former.fleet.records.keys() == new.fleet.records.keys()
     assert former.fleet.types.keys() == new.fleet.types.keys()
-    assert all(former.authority.live_inc(m) == new.authority.live_inc(m)  # type: ignore[arg-type]
-               for m in MEMBERS)
+    assert all(
+        former.authority.live_inc(m) == new.authority.live_inc(m)  # type: ignore[arg-type]
+        for m in MEMBERS
+    )
 
 
 # --- lower limits ------------------------------------------------------------------------
@@ -282,11 +300,13 @@
 
 def planning(**next_limits: Any) -> Node:
     settings = platform("n0")
-    state = StateSettings(rps=200.0, write_rps=80.0, value_kb=16.0, txn_ops=24,
-                          next=NextLimits(**next_limits))
+    state = StateSettings(
+        rps=200.0, write_rps=80.0, value_kb=16.0, txn_ops=24, next=NextLimits(**next_limits)
+    )
     deployment = _replace(settings.settings, state=state)
-    return Node(_replace(settings, settings=deployment), Operators(), random.Random(1),
-                Instant(0.0))
+    return Node(
+        _replace(settings, settings=deployment), Operators(), random.Random(1), Instant(0.0)
+    )
 
 
 def _replace(struct: Any, **changes: Any) -> Any:
@@ -305,11 +325,28 @@
 
 def largest(**changes: Any) -> JobSpec:
     """Every field as long as a submission may have it."""
-    return spec("j-" + "9" * 18, tasks=MAX_TASKS, lane="l" * 200, team="t" * 200, image="k" * 200,
-                types=tuple(f"{n:03d}" + "h" * 197 for n in range(300)), zone="z" * 200,
-                cpus=123456.789, gpus=123456.789, memory=123456.789, image_gb=123456.789,
-                estimate_s=123456.789, checkpoint_s=123456.789, save_s=123456.789,
-                deadline_s=123456.789, together=True, spread=True, spot=True, gang=True, **changes)
+    return spec(
+        "j-" + "9" * 18,
+        tasks=MAX_TASKS,
+        lane="l" * 200,
+        team="t" * 200,
+        image="k" * 200,
+        types=tuple(f"{n:03d}" + "h" * 197 for n in range(300)),
+        zone="z" * 200,
+        cpus=123456.789,
+        gpus=123456.789,
+        memory=123456.789,
+        image_gb=123456.789,
+        estimate_s=123456.789,
+        checkpoint_s=123456.789,
+        save_s=123456.789,
+        deadline_s=123456.789,
+        together=True,
+        spread=True,
+        spot=True,
+        gang=True,
+        **changes,
+    )
 
 
 def test_the_largest_submission_fits_the_least_value() -> None:
@@ -345,8 +382,9 @@
     node = planning(**next_limits)
     node.store.ready = True
     node.store.values["rc/share/0"] = {}
-    job = node.jobs.apply_job(JobId("j-000001"), job_value(spec("j-000001", tasks=tasks),
-                                                           "accepted"), Stamp(5), 0.0)
+    job = node.jobs.apply_job(
+        JobId("j-000001"), job_value(spec("j-000001", tasks=tasks), "accepted"), Stamp(5), 0.0
+    )
     if noted:
         node.store.values["rc/format"] = {"version": 2}
         node.store.stamps["rc/format"] = Stamp(3)
@@ -432,8 +470,9 @@
 
 def test_the_record_of_teams_and_batches_of_machines_fit() -> None:
     node = planning(value_kb=2.0, txn_ops=LEAST_OPS)
-    many = tuple(_replace(node.cx.platform.settings.teams[0], name=f"team-{n:04d}")
-                 for n in range(400))
+    many = tuple(
+        _replace(node.cx.platform.settings.teams[0], name=f"team-{n:04d}") for n in range(400)
+    )
     settings = _replace(node.cx.platform.settings, teams=many)
     node.cx.platform = _replace(node.cx.platform, settings=settings)
     _, changes = node.shares._mapping()
@@ -443,10 +482,13 @@
     node.rental.inventory.leading = lambda: True
     node.rental.inventory.adopt(found)  # type: ignore[arg-type]
     batches = [c.then for _, _, c in node.store._queue] + [
-        e.then for e in node.cx.out if isinstance(e, t.Commit)]
+        e.then for e in node.cx.out if isinstance(e, t.Commit)
+    ]
     assert sum(map(len, batches)) == 100 and max(map(len, batches)) == LEAST_OPS
-    rows = [[f"type-{n:03d}" + "x" * 100, 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ["a", "b"]]
-            for n in range(60)]
+    rows = [
+        [f"type-{n:03d}" + "x" * 100, 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ["a", "b"]]
+        for n in range(60)
+    ]
     assert len(node.rental._catalog_pages(rows)) == 1, "as long as the former version may read it"
     node.store.values["rc/format"] = {"version": 2}
     pages = node.rental._catalog_pages(rows)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -153,7 +153,8 @@
 
 
 def test_a_peer_that_does_not_read_holds_no_more_than_a_bounded_queue(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     message = {"t": "load", "machines": {f"i-{n:06d}": [1.0, 2.0, 3.0] for n in range(1000)}}
     writers: list[asyncio.StreamWriter] = []
     connect = asyncio.open_connection
@@ -219,8 +220,10 @@
 
 
 def test_a_connection_closed_before_the_request_is_written_is_unanswered(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Else whoever asked would wait for ever: a machine, or all reads of the state service."""
+
     async def main() -> None:
         server = Server(answers, 4)
         await server.start("127.0.0.1", 0)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -103,8 +103,7 @@
     world = World(seed=3)
     world.run(4.0)
     world.lose = 0.4
-    told = {f"j-{n:06d}": world.submit(spec(f"j-{n:06d}", tasks=1), f"n{n % 3}")
-            for n in range(8)}
+    told = {f"j-{n:06d}": world.submit(spec(f"j-{n:06d}", tasks=1), f"n{n % 3}") for n in range(8)}
     world.lose = 0.0
     world.deliver_held()
     world.run(20.0)
@@ -134,8 +133,13 @@
     pace = store._writes.rate
     store.failing = True
     store.commit([], [("own", 1, None)], lambda r, s: results.update(own=r))
-    store.commit([], [("user", 1, None)], lambda r, s: results.update(user=r), Store.USER,
-                 Instant(store.cx.now + 60.0))
+    store.commit(
+        [],
+        [("user", 1, None)],
+        lambda r, s: results.update(user=r),
+        Store.USER,
+        Instant(store.cx.now + 60.0),
+    )
     store.last_contact = store.cx.now
     for _ in range(20):
         later(store, 0.1)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -88,16 +88,16 @@
     # team-0 has already uses up its guarantee.
     world.submit(spec("j-000199", tasks=2, team="team-0", service=True))
     world.run(3.0)
-    world.submit(spec("j-000200", tasks=30, team="team-0", rank=2, estimate_s=3.0,
-                      deadline_s=20.0))
+    world.submit(spec("j-000200", tasks=30, team="team-0", rank=2, estimate_s=3.0, deadline_s=20.0))
     world.submit(spec("j-000201", tasks=4, team="team-0", rank=2, service=True))
     begun: dict[str, float] = {}
     number = 300
     while world.now < 250.0:
         for _ in range(3):
             number += 1
-            job = spec(f"j-{number:06d}", tasks=2, team="team-3", rank=1, estimate_s=2.0,
-                       deadline_s=30.0)
+            job = spec(
+                f"j-{number:06d}", tasks=2, team="team-3", rank=1, estimate_s=2.0, deadline_s=30.0
+            )
             world.specs[job.uid] = job
             world.ask("user", "n0", t.Submit(0, job.uid, job), lambda answer: None)
         world.run(1.0)
@@ -112,8 +112,9 @@
 
 @BOTH
 @pytest.mark.parametrize("restarts", [False, True], ids=["plain", "owner restarts"])
-def test_a_machine_that_nothing_reaches_is_replaced(members: tuple[str, ...], restarts: bool
-                                                    ) -> None:
+def test_a_machine_that_nothing_reaches_is_replaced(
+    members: tuple[str, ...], restarts: bool
+) -> None:
     # Which node its worker tries next is chance: now and then the lease ends before.
     took = sorted(replaced_after(members, restarts, seed) for seed in range(1, 6))
     assert took[2] < 10.0 and took[-1] < 14.0
@@ -132,8 +133,15 @@
         world.crash(node.cx.me)
         world.start(node.cx.me)
     since = world.now
-    world.until(lambda: len([1 for task, w in world.on_machines()
-                             if task.job == "j-000400" and w is not worker]) == 2, 14.0)
+    world.until(
+        lambda: (
+            len(
+                [1 for task, w in world.on_machines() if task.job == "j-000400" and w is not worker]
+            )
+            == 2
+        ),
+        14.0,
+    )
     took = world.now - since
     assert not [1 for at, _, id in world.starts if id == worker.id and at > since + 2.0]
     world.run(20.0)
@@ -171,8 +179,18 @@
 def test_a_machine_not_reached_is_answered_no_more_so_that_its_lease_ends() -> None:
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
-    report = t.Report(machine.id, machine.addr, "m4", machine.record.zone, False,
-                      machine.session, machine.seq + 1, machine.token_seen, None, ())
+    report = t.Report(
+        machine.id,
+        machine.addr,
+        "m4",
+        machine.record.zone,
+        False,
+        machine.session,
+        machine.seq + 1,
+        machine.token_seen,
+        None,
+        (),
+    )
 
     def status(seq: int) -> int:
         out = node.handle(node.cx.now, t.Beat(1, report._replace(seq=seq)))
@@ -249,8 +267,10 @@
     member, report = seen[-1]
     world.workers[report.machine].alive = False
     world.until(lambda: report.machine not in world.workers, 40)
-    world.until(lambda: all(n is not None and report.machine in n.fleet.gone
-                            for n in world.nodes.values()), 10)
+    world.until(
+        lambda: all(n is not None and report.machine in n.fleet.gone for n in world.nodes.values()),
+        10,
+    )
     for m in world.members:
         again(world, m, report)
     # Nor after the leader's memory is gone.
@@ -261,8 +281,7 @@
     for m in world.members:
         again(world, m, report)
     world.run(5.0)
-    assert all(report.machine not in n.fleet.records for n in world.nodes.values()
-               if n is not None)
+    assert all(report.machine not in n.fleet.records for n in world.nodes.values() if n is not None)
     assert member in world.members
 
 
@@ -385,8 +404,9 @@
 
 @BOTH
 @pytest.mark.parametrize("pause", [0.0, 0.05, 0.3])
-def test_nodes_back_at_once_in_the_middle_of_takeovers(members: tuple[str, ...], pause: float
-                                                       ) -> None:
+def test_nodes_back_at_once_in_the_middle_of_takeovers(
+    members: tuple[str, ...], pause: float
+) -> None:
     world = World(machines=5, members=members, seed=7)
     world.echo = 0.4
     world.run(4.0)
@@ -450,8 +470,18 @@
     node, machine = owner_of(world, next(iter(world.workers)))
     since = machine.known
     machine.last_answer = Instant(node.cx.now - node.cx.lease_s + 0.1)
-    live = t.Report(machine.id, machine.addr, "m4", machine.record.zone, False,
-                    Session(machine.session + 1), 0, machine.token, None, ())
+    live = t.Report(
+        machine.id,
+        machine.addr,
+        "m4",
+        machine.record.zone,
+        False,
+        Session(machine.session + 1),
+        0,
+        machine.token,
+        None,
+        (),
+    )
     assert node.fleet.hear(live, since)
     job = Job(spec("j-000810"), 1)  # type: ignore[arg-type]
     placement = node.fleet.place(job, 0, machine, machine.share.next_attempt())
@@ -469,8 +499,20 @@
     assert node.fleet.orders(machine, answering=True)
     assert not machine.doubted
     token, number = machine.token_seen, machine.seq + 1
-    node.fleet.hear(t.Report(machine.id, machine.addr, "m4", machine.record.zone, False,
-                             machine.session, number, token, None, ()))
+    node.fleet.hear(
+        t.Report(
+            machine.id,
+            machine.addr,
+            "m4",
+            machine.record.zone,
+            False,
+            machine.session,
+            number,
+            token,
+            None,
+            (),
+        )
+    )
     assert machine.doubted and not node.fleet.usable(machine)
 
 
@@ -478,8 +520,18 @@
     """Before the new life has shown a token of ours, only the raised one tells the two apart."""
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
-    old = t.Report(machine.id, machine.addr, "m4", machine.record.zone, False,
-                   Session(machine.session + 4), 100, machine.token_seen, None, ())
+    old = t.Report(
+        machine.id,
+        machine.addr,
+        "m4",
+        machine.record.zone,
+        False,
+        Session(machine.session + 4),
+        100,
+        machine.token_seen,
+        None,
+        (),
+    )
     since = machine.known
     live = old._replace(session=Session(1), seq=0, token=Token(0))
     assert node.fleet.hear(live, since)
@@ -494,8 +546,20 @@
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     assert not machine.doubted
-    node.fleet.hear(t.Report(machine.id, machine.addr, "m4", machine.record.zone, False,
-                             Session(machine.session + 1), 0, machine.token_seen, None, ()))
+    node.fleet.hear(
+        t.Report(
+            machine.id,
+            machine.addr,
+            "m4",
+            machine.record.zone,
+            False,
+            Session(machine.session + 1),
+            0,
+            machine.token_seen,
+            None,
+            (),
+        )
+    )
     assert machine.doubted and not node.fleet.usable(machine)
 
 
--- a/tests/test_two_troubles.py
+++ b/tests/test_two_troubles.py
@@ -26,12 +26,22 @@
     """Each team has two replicas, an array of long tasks and a gang that run."""
     world = fresh(members, machines, **settings)
     for n in range(TEAMS):
-        world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", service=True, rank=0,
-                          cpus=1.0))
+        world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", service=True, rank=0, cpus=1.0))
         world.submit(spec(f"j-00001{n}", tasks=3, team=f"team-{n}", cpus=1.0, estimate_s=40.0))
-        world.submit(spec(f"j-00002{n}", tasks=2, team=f"team-{n}", gang=True, cpus=0.5,
-                          memory=1.0, together=n % 2 == 0, checkpoint_s=3.0, save_s=0.5,
-                          estimate_s=30.0))
+        world.submit(
+            spec(
+                f"j-00002{n}",
+                tasks=2,
+                team=f"team-{n}",
+                gang=True,
+                cpus=0.5,
+                memory=1.0,
+                together=n % 2 == 0,
+                checkpoint_s=3.0,
+                save_s=0.5,
+                estimate_s=30.0,
+            )
+        )
     world.until(lambda: len(world.on_machines()) == 7 * TEAMS, 20)
     return world
 
@@ -124,7 +134,8 @@
 @BOTH
 @pytest.mark.parametrize("how_many", ["some", "all"])
 def test_workers_reach_no_controller_while_commands_reach_them(
-        members: tuple[str, ...], how_many: str) -> None:
+    members: tuple[str, ...], how_many: str
+) -> None:
     world = busy(members)
     ids = sorted(world.workers)
     world.mute.update(ids if how_many == "all" else ids[::3])
@@ -145,43 +156,64 @@
             world.state.outage(True)
         if n == 6:
             world.state.outage(False)
-        submit(world, spec(f"j-00010{n}", tasks=2, team=f"team-{n % TEAMS}", estimate_s=6.0),
-               members[n % len(members)])
+        submit(
+            world,
+            spec(f"j-00010{n}", tasks=2, team=f"team-{n % TEAMS}", estimate_s=6.0),
+            members[n % len(members)],
+        )
         world.run(9.0)
-        send(world, members[(n + 1) % len(members)], t.Withdraw(0, f"j-00010{n}" if n % 3 == 0
-                                                                else "j-000010"))
+        send(
+            world,
+            members[(n + 1) % len(members)],
+            t.Withdraw(0, f"j-00010{n}" if n % 3 == 0 else "j-000010"),
+        )
         world.run(3.0)
     calm(world)
 
 
 @BOTH
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = fresh(members, 2)
     world.capacity = 12
     world.late_writes = 0.5
     for n in range(TEAMS):
-        submit(world, spec(f"j-00010{n}", tasks=8, team=f"team-{n}", estimate_s=20.0),
-               members[n % 3])
+        submit(
+            world, spec(f"j-00010{n}", tasks=8, team=f"team-{n}", estimate_s=20.0), members[n % 3]
+        )
     world.run(2.0)
     who = leader(world)
     assert who is not None
     end_of(world, who, 3.0)
     world.run(12.0)
     calm(world)
-    recorded = {k.rpartition("/")[2] for k, (v, _, _) in world.state.data.items()
-                if k.startswith("rc/machine/") and not v.get("gone")}
+    recorded = {
+        k.rpartition("/")[2]
+        for k, (v, _, _) in world.state.data.items()
+        if k.startswith("rc/machine/") and not v.get("gone")
+    }
     assert set(world.workers) <= recorded, "every machine hired is known"
 
 
 @BOTH
 def test_changes_without_an_answer_are_carried_out_after_newer_ones(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = busy(members)
     world.late_writes = 0.4
     for n in range(16):
-        submit(world, spec(f"j-0001{n:02d}", tasks=3, team=f"team-{n % TEAMS}", cpus=1.0,
-                           estimate_s=0.5 + n % 5), members[n % len(members)])
+        submit(
+            world,
+            spec(
+                f"j-0001{n:02d}",
+                tasks=3,
+                team=f"team-{n % TEAMS}",
+                cpus=1.0,
+                estimate_s=0.5 + n % 5,
+            ),
+            members[n % len(members)],
+        )
         world.run(0.8)
         if n % 4 == 3:
             send(world, members[n % 3], t.Withdraw(0, f"j-0001{n:02d}"))
@@ -194,7 +226,8 @@
 @BOTH
 @pytest.mark.parametrize("how", ["cut", "deaf", "hung"])
 def test_the_leader_ends_while_machines_with_long_tasks_are_out_of_reach(
-        members: tuple[str, ...], how: str) -> None:
+    members: tuple[str, ...], how: str
+) -> None:
     world = busy(members)
     ids = sorted(world.workers)[::2]
     out_of_reach(world, ids, how)
@@ -217,8 +250,13 @@
         job = spec(uid, tasks=1 + n % 2, team=f"team-{n % TEAMS}", estimate_s=1.0)
         world.submit(job)
         wanted = {TaskId(job.uid, i) for i in range(job.tasks)}  # type: ignore[arg-type]
-        world.until(lambda wanted=wanted: {x for x, _ in world.on_machines()} >= wanted  # type: ignore[misc]
-                    or wanted <= world.finished, 20)
+        world.until(
+            lambda wanted=wanted: (
+                {x for x, _ in world.on_machines()} >= wanted  # type: ignore[misc]
+                or wanted <= world.finished
+            ),
+            20,
+        )
         world.run(0.6 + n * 0.03)
         for k, member in enumerate(members):
             kinds: list[Any] = [t.Withdraw(0, uid), t.Poll(0, uid), t.Submit(0, uid, job)]
@@ -236,11 +274,18 @@
     world = fresh(MEMBERS, 9)
     for n in range(480):
         uid = f"j-{n:06d}"
-        submit(world, spec(uid, tasks=1, team=f"team-{n % TEAMS}", estimate_s=1.0 + n % 4),
-               world.members[n % 3])
+        submit(
+            world,
+            spec(uid, tasks=1, team=f"team-{n % TEAMS}", estimate_s=1.0 + n % 4),
+            world.members[n % 3],
+        )
         if n % 4 == 0:
-            world.after(0.3 + n % 5, lambda uid=uid, n=n: send(  # type: ignore[misc]
-                world, world.members[n % 3], t.Withdraw(0, uid)))
+            world.after(
+                0.3 + n % 5,
+                lambda uid=uid, n=n: send(  # type: ignore[misc]
+                    world, world.members[n % 3], t.Withdraw(0, uid)
+                ),
+            )
         world.run(0.25)
     world.run(10.0)
     assert len(world.told) == 480 and "cancelled" in world.told.values()
@@ -249,16 +294,23 @@
 
 @BOTH
 def test_a_change_is_carried_out_and_only_its_answer_lost_while_others_read_it(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = busy(members)
     world.lost_answers = 0.5
     for n in range(12):
         uid = f"j-0001{n:02d}"
-        submit(world, spec(uid, tasks=2, team=f"team-{n % TEAMS}", estimate_s=1.5),
-               members[n % len(members)])
+        submit(
+            world,
+            spec(uid, tasks=2, team=f"team-{n % TEAMS}", estimate_s=1.5),
+            members[n % len(members)],
+        )
         for k in range(4):
-            send(world, members[k % len(members)], t.Poll(0, uid) if uid in world.told
-                 else t.Submit(0, uid, world.specs[uid]))  # type: ignore[index]
+            send(
+                world,
+                members[k % len(members)],
+                t.Poll(0, uid) if uid in world.told else t.Submit(0, uid, world.specs[uid]),
+            )  # type: ignore[index]
             world.run(0.1)
         if n % 3 == 0:
             for member in members:
@@ -273,7 +325,8 @@
 @BOTH
 @pytest.mark.parametrize("back_s", [0.3, 4.0])
 def test_controllers_hand_over_and_back_all_end_and_one_returns(
-        members: tuple[str, ...], back_s: float) -> None:
+    members: tuple[str, ...], back_s: float
+) -> None:
     world = busy(members)
     end_of(world, members[0], 8.0)
     world.run(16.5)  # its shares are on their way back
@@ -292,8 +345,9 @@
 
 @BOTH
 @pytest.mark.parametrize("seconds", [4.0, LEASE_S + 4.0])
-def test_a_zone_with_workers_and_a_controller_is_cut_off(members: tuple[str, ...],
-                                                         seconds: float) -> None:
+def test_a_zone_with_workers_and_a_controller_is_cut_off(
+    members: tuple[str, ...], seconds: float
+) -> None:
     world = busy(members)
     world.hold = True
     inside = {members[0], *(w.id for w in world.workers.values() if w.zone == "a")}
@@ -342,7 +396,8 @@
 @BOTH
 @pytest.mark.parametrize("how", ["cut", "hung"])
 def test_teams_at_their_limit_when_leader_and_machines_fail_and_jobs_are_cancelled(
-        members: tuple[str, ...], how: str) -> None:
+    members: tuple[str, ...], how: str
+) -> None:
     """What was cancelled may still run where nobody can ask: it counts until it surely ended."""
     world = fresh(members, 12, cpus_max=8.0)
     for n in range(TEAMS):
@@ -386,8 +441,18 @@
     world = fresh(members, 5)
     world.slow_links = 0.25
     for n in range(12):
-        submit(world, spec(f"j-0001{n:02d}", tasks=6, team=f"team-{n % TEAMS}", rank=n % 4,
-                           estimate_s=2.0, service=False), members[n % len(members)])
+        submit(
+            world,
+            spec(
+                f"j-0001{n:02d}",
+                tasks=6,
+                team=f"team-{n % TEAMS}",
+                rank=n % 4,
+                estimate_s=2.0,
+                service=False,
+            ),
+            members[n % len(members)],
+        )
         world.run(1.0)
     end_of(world, leader(world) or members[0], 2.0)
     world.run(20.0)
@@ -399,7 +464,8 @@
 
 @BOTH
 def test_a_leader_alone_with_workers_and_users_while_the_new_one_takes_cancellations(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = busy(members)
     old = leader(world)
     assert old is not None
@@ -435,7 +501,8 @@
 @BOTH
 @pytest.mark.parametrize("cancel_after", [0.0, 0.05, 1.0])
 def test_the_leader_is_refused_alone_then_everybody_for_longer_than_a_cancellation(
-        members: tuple[str, ...], cancel_after: float) -> None:
+    members: tuple[str, ...], cancel_after: float
+) -> None:
     """Cancelled at the very moment of the refusal, or a little later; a second after it, nobody
     has a state service. Meanwhile the workers report to the old leader."""
     world = busy(members)
@@ -458,7 +525,8 @@
 
 @BOTH
 def test_the_state_service_answers_slowly_while_users_cancel_and_ask(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = busy(members)
     world.slow_state = 1.2
     for n in range(TEAMS):
@@ -473,14 +541,18 @@
 
 @BOTH
 def test_a_command_or_its_answer_is_held_up_and_the_machine_goes_on(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = busy(members)
     for n in range(6):
         id = sorted(world.workers)[n]
         worker = world.workers[id]
         worker.hung = True
-        submit(world, spec(f"j-00010{n}", tasks=2, team=f"team-{n % TEAMS}", estimate_s=2.0),
-               members[n % len(members)])
+        submit(
+            world,
+            spec(f"j-00010{n}", tasks=2, team=f"team-{n % TEAMS}", estimate_s=2.0),
+            members[n % len(members)],
+        )
         send(world, members[0], t.Withdraw(0, f"j-00001{n % TEAMS}"))
         world.run(2.0 + n % 3)
         worker.hung = False
@@ -499,8 +571,12 @@
         looked[0] += 1
         for k, member in enumerate(members):
             world.after(0.002 * k, lambda m=member: send(world, m, t.Poll(0, uid)))  # type: ignore[misc]
-            world.after(0.003 * k + 0.001, lambda m=member: send(  # type: ignore[misc]
-                world, m, t.Submit(0, uid, world.specs[uid])))  # type: ignore[index]
+            world.after(
+                0.003 * k + 0.001,
+                lambda m=member: send(  # type: ignore[misc]
+                    world, m, t.Submit(0, uid, world.specs[uid])
+                ),
+            )  # type: ignore[index]
 
     note = world.note
 
@@ -513,8 +589,11 @@
     world.note = noting  # type: ignore[method-assign]
     for n in range(20):
         uid = f"j-0001{n:02d}"
-        submit(world, spec(uid, tasks=1 + n % 3, team=f"team-{n % TEAMS}", estimate_s=0.8),
-               members[n % len(members)])
+        submit(
+            world,
+            spec(uid, tasks=1 + n % 3, team=f"team-{n % TEAMS}", estimate_s=0.8),
+            members[n % len(members)],
+        )
         if n % 4 == 0:
             world.run(0.05)
             send(world, members[(n + 1) % len(members)], t.Withdraw(0, uid))
@@ -528,7 +607,8 @@
 
 @BOTH
 def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     world = busy(members)
     seen = capture(world)
     world.run(2.0)
@@ -553,8 +633,11 @@
     world = fresh(members)
     lengths = {0: 1.0, 1: 9.0, 2: 18.0}
     for n in range(6):
-        submit(world, spec(f"j-00010{n}", tasks=2 + n % 2, team=f"team-{n % TEAMS}",
-                           estimate_s=1.0), members[n % len(members)])
+        submit(
+            world,
+            spec(f"j-00010{n}", tasks=2 + n % 2, team=f"team-{n % TEAMS}", estimate_s=1.0),
+            members[n % len(members)],
+        )
     # Each task's length by its number, where the worker looks for it.
     step = type(next(iter(world.workers.values()))).step
 
@@ -576,19 +659,33 @@
     end_of(world, leader(world) or members[0], 0.3)
     world.run(8.0)
     calm(world)
-    again_started = [task for n, (_, task, _) in enumerate(world.starts)
-                     if any(task == other for _, other, _ in world.starts[:n])]
+    again_started = [
+        task
+        for n, (_, task, _) in enumerate(world.starts)
+        if any(task == other for _, other, _ in world.starts[:n])
+    ]
     assert not again_started, "what ended was stored, what ran went on"
 
 
 @BOTH
 def test_jobs_are_cancelled_while_one_controller_s_work_changes_hands(
-        members: tuple[str, ...]) -> None:
+    members: tuple[str, ...],
+) -> None:
     """On the way to another, and on the way back, one every tenth of a second; then an outage."""
     world = fresh(members, 12)
     for n in range(60):
-        submit(world, spec(f"j-0001{n:02d}", tasks=1, team=f"team-{n % TEAMS}", cpus=0.5,
-                           memory=1.0, estimate_s=60.0), members[n % len(members)])
+        submit(
+            world,
+            spec(
+                f"j-0001{n:02d}",
+                tasks=1,
+                team=f"team-{n % TEAMS}",
+                cpus=0.5,
+                memory=1.0,
+                estimate_s=60.0,
+            ),
+            members[n % len(members)],
+        )
         world.run(0.05)
     world.until(lambda: len(world.on_machines()) == 60, 30)
     number = [0]
@@ -611,5 +708,3 @@
     world.run(CANCEL_S + 3.0)
     assert not world.broken
     calm(world)
-
-
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,14 +6,43 @@
 from runcourse.core.ids import Attempt, JobId, Session, TaskId, Token
 from runcourse.wire import messages as wire
 
-JOB = {"uid": "j-000412", "lane": "train", "crew": "vision", "shape": "batch", "rank": "urgent",
-       "legs": 16, "vcpus": 8.0, "gpus": 1.0, "ram_gb": 64.0, "kit": "img-07", "pull_gb": 6.2,
-       "hulls": ["g8"], "yard": None, "together": True, "spread": False, "lendable": True,
-       "guess_s": 240.0, "mark_every_s": 30.0, "mark_cost_s": 4.0, "due_s": 900.0}
-BEAT = {"host": "i-000231", "addr": "10.1.0.232:9000", "hull": "g8", "yard": "a",
-        "lendable": True, "tenure": 1, "tick": 88, "baton": 41, "warning_s": None,
-        "legs": [{"leg": "j-000412/3", "try": 2, "stage": "running"},
-                 {"leg": "j-000398/0", "try": 1, "stage": "ended", "cause": "done"}]}
+JOB = {
+    "uid": "j-000412",
+    "lane": "train",
+    "crew": "vision",
+    "shape": "batch",
+    "rank": "urgent",
+    "legs": 16,
+    "vcpus": 8.0,
+    "gpus": 1.0,
+    "ram_gb": 64.0,
+    "kit": "img-07",
+    "pull_gb": 6.2,
+    "hulls": ["g8"],
+    "yard": None,
+    "together": True,
+    "spread": False,
+    "lendable": True,
+    "guess_s": 240.0,
+    "mark_every_s": 30.0,
+    "mark_cost_s": 4.0,
+    "due_s": 900.0,
+}
+BEAT = {
+    "host": "i-000231",
+    "addr": "10.1.0.232:9000",
+    "hull": "g8",
+    "yard": "a",
+    "lendable": True,
+    "tenure": 1,
+    "tick": 88,
+    "baton": 41,
+    "warning_s": None,
+    "legs": [
+        {"leg": "j-000412/3", "try": 2, "stage": "running"},
+        {"leg": "j-000398/0", "try": 1, "stage": "ended", "cause": "done"},
+    ],
+}
 
 
 def test_a_submission_and_back() -> None:
@@ -69,22 +98,39 @@
 
 def test_orders() -> None:
     task = TaskId(JobId("j-000377"), 1)
-    orders = [t.Order("start", task, Attempt(2)), t.Order("stop", task, Attempt(1), 10.0),
-              t.Order("forget", task, Attempt(1))]
-    assert wire.report_answer(Token(41), orders) == {"baton": 41, "orders": [
-        {"verb": "run", "leg": "j-000377/1", "try": 2},
-        {"verb": "kill", "leg": "j-000377/1", "try": 1, "wind_down_s": 10.0},
-        {"verb": "clear", "leg": "j-000377/1", "try": 1}]}
+    orders = [
+        t.Order("start", task, Attempt(2)),
+        t.Order("stop", task, Attempt(1), 10.0),
+        t.Order("forget", task, Attempt(1)),
+    ]
+    assert wire.report_answer(Token(41), orders) == {
+        "baton": 41,
+        "orders": [
+            {"verb": "run", "leg": "j-000377/1", "try": 2},
+            {"verb": "kill", "leg": "j-000377/1", "try": 1, "wind_down_s": 10.0},
+            {"verb": "clear", "leg": "j-000377/1", "try": 1},
+        ],
+    }
     assert wire.commands(Token(41), Session(1), [])["tenure"] == 1
 
 
 def test_state_service_messages() -> None:
-    changes, epoch = wire.events(wire.encode({"epoch": 433, "events": [
-        {"write": "c/9", "value": {"a": 1}, "stamp": 433}, {"drop": "c/d", "stamp": 432}]}))
+    changes, epoch = wire.events(
+        wire.encode(
+            {
+                "epoch": 433,
+                "events": [
+                    {"write": "c/9", "value": {"a": 1}, "stamp": 433},
+                    {"drop": "c/d", "stamp": 432},
+                ],
+            }
+        )
+    )
     assert epoch == 433
     assert changes == [("c/9", {"a": 1}, 433), ("c/d", None, 432)]
     assert wire.transaction([("a/b", 0)], [("a/b", {"x": 1}, 7), ("c/d", None, None)]) == {
         "when": [{"key": "a/b", "stamp": 0}],
-        "then": [{"write": "a/b", "value": {"x": 1}, "grant": 7}, {"drop": "c/d"}]}
+        "then": [{"write": "a/b", "value": {"x": 1}, "grant": 7}, {"drop": "c/d"}],
+    }
     with pytest.raises(wire.Malformed):
         wire.committed(wire.encode({"epoch": "x"}))
--- a/tests/world.py
+++ b/tests/world.py
@@ -42,17 +42,30 @@
 ZONES = ("a", "b", "c")
 
 
-def platform(member: str, cpus_max: float = 16.0, members: tuple[str, ...] = MEMBERS,
-             objectives: tuple[Any, ...] = (), lease_s: float = LEASE_S) -> Platform:
+def platform(
+    member: str,
+    cpus_max: float = 16.0,
+    members: tuple[str, ...] = MEMBERS,
+    objectives: tuple[Any, ...] = (),
+    lease_s: float = LEASE_S,
+) -> Platform:
     return Platform(
-        member=member, area="a", api_addr="127.0.0.1:1", internal_addr="127.0.0.1:2",
+        member=member,
+        area="a",
+        api_addr="127.0.0.1:1",
+        internal_addr="127.0.0.1:2",
         services=Services("127.0.0.1:3", "127.0.0.1:4"),
         peers=tuple(Peer(m, "a", "127.0.0.1:5") for m in members if m != member),
         settings=Deployment(
-            nodes=len(members), zones=ZONES, objectives=objectives,
+            nodes=len(members),
+            zones=ZONES,
+            objectives=objectives,
             teams=tuple(TeamSettings(f"team-{i}", 4.0, cpus_max) for i in range(4)),
             workers=WorkerSettings(REPORT_S, lease_s, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
-            state=StateSettings(rps=400.0, write_rps=200.0), cloud=CloudSettings(10.0, 2.0)))
+            state=StateSettings(rps=400.0, write_rps=200.0),
+            cloud=CloudSettings(10.0, 2.0),
+        ),
+    )
 
 
 def void(value: Any) -> None:
@@ -61,9 +74,19 @@
 
 def spec(uid: str, tasks: int = 2, **changes: Any) -> JobSpec:
     values: dict[str, Any] = {
-        "uid": uid, "lane": "x", "team": "team-0", "service": False, "rank": 1, "tasks": tasks,
-        "cpus": 2.0, "gpus": 0.0, "memory": 4.0, "image": "img", "image_gb": 0.2,
-        "estimate_s": 2.0}
+        "uid": uid,
+        "lane": "x",
+        "team": "team-0",
+        "service": False,
+        "rank": 1,
+        "tasks": tasks,
+        "cpus": 2.0,
+        "gpus": 0.0,
+        "memory": 4.0,
+        "image": "img",
+        "image_gb": 0.2,
+        "estimate_s": 2.0,
+    }
     values.update(changes)
     return JobSpec(**values)
 
@@ -124,8 +147,10 @@
         raise TypeError(effect)
 
     def _commit(self, effect: t.Commit) -> tuple[int, Any]:
-        if self.most is not None and (len(effect.then) > self.most[1] or any(
-                len(json.dumps(v)) > self.most[0] for _, v, _ in effect.then if v is not None)):
+        if self.most is not None and (
+            len(effect.then) > self.most[1]
+            or any(len(json.dumps(v)) > self.most[0] for _, v, _ in effect.then if v is not None)
+        ):
             self.too_large.append(effect.then[0][0])
             return 400, None
         if any(self.data.get(k, (None, 0, None))[1] != s for k, s in effect.when):
@@ -177,10 +202,21 @@
 
     def report(self) -> t.Report:
         self.seq += 1
-        return t.Report(self.id, f"{self.id}:1", "m4", self.zone, self.spot, self.session,  # type: ignore[arg-type]
-                        self.seq, self.token, self.notice_s,  # type: ignore[arg-type]
-                        tuple(t.TaskReport(task, attempt, stage, cause, cause == "stopped")  # type: ignore[arg-type]
-                              for (task, attempt), (stage, cause, _) in self.tasks.items()))
+        return t.Report(
+            self.id,
+            f"{self.id}:1",
+            "m4",
+            self.zone,
+            self.spot,
+            self.session,  # type: ignore[arg-type]
+            self.seq,
+            self.token,
+            self.notice_s,  # type: ignore[arg-type]
+            tuple(
+                t.TaskReport(task, attempt, stage, cause, cause == "stopped")  # type: ignore[arg-type]
+                for (task, attempt), (stage, cause, _) in self.tasks.items()
+            ),
+        )
 
     def step(self) -> None:
         """Let time pass for the tasks and the lease."""
@@ -196,8 +232,9 @@
             return
         for (task, _), entry in self.tasks.items():
             job = self.world.specs[task.job]
-            if entry[0] == "fetching" and (now - entry[2] > self.world.fetch_s
-                                           or (job.gang and job.image in self.images)):
+            if entry[0] == "fetching" and (
+                now - entry[2] > self.world.fetch_s or (job.gang and job.image in self.images)
+            ):
                 self.images.add(job.image)
                 self.world.check_start(self, task)
                 entry[0], entry[2] = "waiting" if job.gang else "running", now
@@ -256,8 +293,11 @@
         for order in orders:
             key = (order.task, order.attempt)
             if order.op == "start" and key not in self.tasks:
-                used = sum(self.world.specs[k[0].job].cpus
-                           for k, e in self.tasks.items() if e[0] != "ended")
+                used = sum(
+                    self.world.specs[k[0].job].cpus
+                    for k, e in self.tasks.items()
+                    if e[0] != "ended"
+                )
                 if any(k[0] == order.task and e[0] != "ended" for k, e in self.tasks.items()):
                     self.tasks[key] = ["ended", "busy", self.world.now]
                 elif used + self.world.specs[order.task.job].cpus > TYPE.cpus:
@@ -291,8 +331,14 @@
 
 
 class World:
-    def __init__(self, seed: int = 1, machines: int = 4, members: tuple[str, ...] = MEMBERS,
-                 former: bool = False, **settings: Any) -> None:
+    def __init__(
+        self,
+        seed: int = 1,
+        machines: int = 4,
+        members: tuple[str, ...] = MEMBERS,
+        former: bool = False,
+        **settings: Any,
+    ) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -371,8 +417,9 @@
         settings = platform(member, members=self.members, **self.settings)
         # A node of the version in production has the same parts, where tests look at them.
         made: Any = Former if member in self.former else Node
-        self.nodes[member] = made(settings, Operators(), random.Random(self.rng.random()),
-                                  Instant(self.now))
+        self.nodes[member] = made(
+            settings, Operators(), random.Random(self.rng.random()), Instant(self.now)
+        )
         self._tick(member, self.generation[member])
 
     def crash(self, member: str) -> None:
@@ -459,9 +506,17 @@
                 self.after(self._latency(), lambda: back(200, (TYPE,)))
             case t.ListMachines():
                 listed = tuple(
-                    t.CloudMachine(w.id, f"{w.id}:1", "m4", w.zone, w.spot,  # type: ignore[arg-type]
-                                   "running" if w.alive else "failed", 1.0)
-                    for w in self.workers.values())
+                    t.CloudMachine(
+                        w.id,
+                        f"{w.id}:1",
+                        "m4",
+                        w.zone,
+                        w.spot,  # type: ignore[arg-type]
+                        "running" if w.alive else "failed",
+                        1.0,
+                    )
+                    for w in self.workers.values()
+                )
                 self.after(self._latency(), lambda: back(200, listed))
             case t.Rent():
                 if len(self.workers) < self.capacity:
@@ -479,6 +534,7 @@
 
     def _say(self, member: str, other: str, message: dict[str, Any]) -> None:
         if self.reachable(member, other):
+
             def arrive() -> None:
                 self.feed(other, t.PeerSaid(member, message))  # type: ignore[arg-type]
 
@@ -496,8 +552,7 @@
             return
 
         if isinstance(effect, t.Commit) and self.rng.random() < self.late_writes:
-            self.after(self.rng.uniform(2.0, 12.0),
-                       lambda: void(self.state.serve(member, effect)))
+            self.after(self.rng.uniform(2.0, 12.0), lambda: void(self.state.serve(member, effect)))
             self.after(2.5, lambda: back(0))
             return
 
@@ -551,8 +606,13 @@
 
         def arrive() -> None:
             worker = self.workers.get(id)
-            if (worker is None or not worker.alive or worker.hung or id in self.deaf
-                    or not self.reachable(member, id)):
+            if (
+                worker is None
+                or not worker.alive
+                or worker.hung
+                or id in self.deaf
+                or not self.reachable(member, id)
+            ):
                 self.after(2.0, lambda: back(0))
             else:
                 worker.step()
@@ -636,20 +696,29 @@
         if before not in (None, "unknown") and stage == "unknown":
             self.broken.append(f"forgotten: {uid}")
         if stage == "done":
-            missing = [i for i in range(self.specs[uid].tasks)
-                       if not any(x.job == uid and x.number == i for x in self.finished)]
+            missing = [
+                i
+                for i in range(self.specs[uid].tasks)
+                if not any(x.job == uid and x.number == i for x in self.finished)
+            ]
             if missing:
                 self.broken.append(f"not_done: {uid} lacks {missing}")
         # Of answers that crossed the final one, or any after a 404, is what the user keeps.
         if self.told.get(uid) not in ("done", "cancelled") and (
-                stage != "unknown" or before is None):
+            stage != "unknown" or before is None
+        ):
             self.told[uid] = stage
 
     # --- rules -----------------------------------------------------------------------
 
     def on_machines(self) -> list[tuple[Any, Worker]]:
-        return [(task, w) for w in self.workers.values() if w.alive
-                for (task, _), e in w.tasks.items() if e[0] in ("running", "waiting", "saving")]
+        return [
+            (task, w)
+            for w in self.workers.values()
+            if w.alive
+            for (task, _), e in w.tasks.items()
+            if e[0] in ("running", "waiting", "saving")
+        ]
 
     # --- gangs -----------------------------------------------------------------------
 
@@ -660,8 +729,14 @@
         """A task of a running gang that is told to stop with time to save goes on doing that."""
         job = self.specs[order.task.job]
         gang = self.gangs.get((order.task.job, order.attempt))
-        if (not job.gang or gang is None or gang.over or entry[0] not in ("running", "saving")
-                or not job.checkpoint_s or order.grace_s < job.save_s):
+        if (
+            not job.gang
+            or gang is None
+            or gang.over
+            or entry[0] not in ("running", "saving")
+            or not job.checkpoint_s
+            or order.grace_s < job.save_s
+        ):
             return False
         if entry[0] == "running":
             entry[0], entry[2] = "saving", self.now
@@ -687,8 +762,9 @@
             if not gang.over:
                 self._step_gang(key[0], gang, found.get(key, []))
 
-    def _step_gang(self, uid: Any, gang: Gang, members: list[tuple[Worker, Any, list[Any]]]
-                   ) -> None:
+    def _step_gang(
+        self, uid: Any, gang: Gang, members: list[tuple[Worker, Any, list[Any]]]
+    ) -> None:
         job, now = self.specs[uid], self.now
         reached = self.progress.get(uid, 0.0) + (gang.told_at or now) - gang.since
         there = [m for m in members if m[2][0] in ("running", "saving")]
@@ -723,20 +799,25 @@
             if other == task and where is not worker:
                 self.broken.append(f"ran_twice: {task} on {where.id} and {worker.id}")
         job = self.specs[task.job]
-        used = job.cpus + sum(self.specs[x.job].cpus for x, _ in self.on_machines()
-                              if self.specs[x.job].team == job.team)
+        used = job.cpus + sum(
+            self.specs[x.job].cpus
+            for x, _ in self.on_machines()
+            if self.specs[x.job].team == job.team
+        )
         if used > self.settings.get("cpus_max", 16.0) + 1e-6:
             self.broken.append(f"quota: {job.team} uses {used}")
         if not job.spot and worker.spot:
             self.broken.append(f"wrong_place: {task} on a spot machine")
         if job.zone is not None and job.zone != worker.zone:
             self.broken.append(f"wrong_place: {task} in zone {worker.zone}")
-        if job.together and any(x.job == job.uid and w.zone != worker.zone
-                                for x, w in self.on_machines()):
+        if job.together and any(
+            x.job == job.uid and w.zone != worker.zone for x, w in self.on_machines()
+        ):
             self.broken.append(f"wrong_place: {task} in zone {worker.zone}, others elsewhere")
         if job.spread:
-            here = 1 + sum(1 for x, w in self.on_machines()
-                           if x.job == job.uid and w.zone == worker.zone)
+            here = 1 + sum(
+                1 for x, w in self.on_machines() if x.job == job.uid and w.zone == worker.zone
+            )
             if here > (job.tasks + 1) // 2:
                 self.broken.append(f"wrong_place: {task} makes {here} in zone {worker.zone}")
 
