--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..wire.peer_messages import GrantRequest, GrantResponse
 from .context import DRIFT, Context
 from .ids import ABSENT, ALWAYS, LONG_AGO, Incarnation, Instant, JobId, Member, Stamp, later
 from .jobs import Jobs
@@ -223,22 +224,17 @@
         self._ask += 1
         self._asked_at[self._ask] = now
         self._asked_at.pop(self._ask - 20, None)
-        self.cx.out.append(
-            Say(
-                None,
-                {"t": "vouch?", "inc": self.inc, "n": self._ask, "applied": self.store.applied},
-            )
-        )
+        self.cx.out.append(Say(None, GrantRequest(self.inc, self._ask, self.store.applied)))
 
-    def asked(self, member: Member, message: dict[str, Any]) -> None:
+    def asked(self, member: Member, message: GrantRequest) -> None:
         """A peer without contact asks whether this node has none either."""
         now = self.cx.now
-        inc = Incarnation(str(message["inc"]))
+        inc = message.inc
         # One failure amid successes is no outage: such a node must not keep another going.
         recently = self.store.last_contact > now - 1.0
         # The asker may have lost contact earlier than this node: what was cancelled meanwhile
         # must not run on for as long as it is vouched for.
-        news = self.jobs.cancelled_since(Stamp(int(message["applied"])))
+        news = self.jobs.cancelled_since(message.applied)
         ok = (
             len(news) <= MOST_NEWS
             # What failed before this process stood still says nothing of now.
@@ -254,27 +250,20 @@
         self.cx.out.append(
             Say(
                 member,
-                {
-                    "t": "vouch",
-                    "inc": inc,
-                    "n": message["n"],
-                    "ok": ok,
-                    "contact": recently,
-                    "cancelled": news[:MOST_NEWS],
-                },
+                GrantResponse(inc, message.number, ok, recently, news[:MOST_NEWS]),
             )
         )
 
-    def answered(self, member: Member, message: dict[str, Any]) -> None:
-        sent = self._asked_at.get(int(message["n"]))
-        if sent is None or message["inc"] != self.inc:
+    def answered(self, member: Member, message: GrantResponse) -> None:
+        sent = self._asked_at.get(message.number)
+        if sent is None or message.inc != self.inc:
             return
-        self._on_cancelled([JobId(str(uid)) for uid in message["cancelled"]])
-        if message["ok"]:
+        self._on_cancelled(message.cancelled)
+        if message.ok:
             until = Instant(sent + self.vouch_s * (1 - DRIFT))
             self._votes[member] = max(until, self._votes.get(member, until))
         else:
             self._votes.pop(member, None)
             # Any peer with contact ends it: the store is there, and it isn't for this node.
-            if message["contact"] and self.cx.now >= self.until:
+            if message.contact and self.cx.now >= self.until:
                 self._refuted = True
--- a/runcourse/core/balance.py
+++ b/runcourse/core/balance.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from ..wire.peer_messages import TransferMachine, VacateMachine, YieldMachines
 from .context import Context
 from .ids import Instant, MachineId, ShareNo
 from .machine import Record
@@ -58,9 +59,7 @@
                         if n and serves(need, record.type, record.zone, record.spot):
                             need.count -= n
                             idle[other].remove(entry)
-                            self.yielding.ask_owner(
-                                other, {"t": "give", "machine": id, "share": share}
-                            )
+                            self.yielding.ask_owner(other, TransferMachine(id, share))
 
     def _one_zone(
         self,
@@ -112,9 +111,7 @@
             if others:
                 self._vacate_at = Instant(now + 1.0)
                 other = self.cx.rng.choice(others)
-                self.yielding.ask_owner(
-                    other, {"t": "vacate", "share": other, "to": share, "need": need.raw}
-                )
+                self.yielding.ask_owner(other, VacateMachine(other, share, need.entry))
                 return
 
     def _one_machine(self, need: Need) -> bool:
@@ -152,6 +149,4 @@
         # Half of it: what is asked for changes while machines fall empty.
         half = min(lacks[to], -lacks[share]) / 2
         if need is not None:
-            self.yielding.ask_owner(
-                share, {"t": "yield", "share": share, "to": to, "cpus": half, "need": need.raw}
-            )
+            self.yielding.ask_owner(share, YieldMachines(share, to, half, need.entry))
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -17,6 +17,7 @@
 
 from collections.abc import Callable
 
+from ..wire.peer_messages import CancellationAck, CancellationNotice, GrantRequest
 from .authority import Authority
 from .context import Context
 from .ids import ABSENT, LONG_AGO, Instant, JobId, Member, Stamp, Team, later
@@ -111,7 +112,7 @@
         if now < inquiry.asked + ASK_AGAIN_S:
             return
         inquiry.asked = now
-        self.cx.out.append(Say(None, {"t": "cancelled", "uid": job.uid, "ask": True}))
+        self.cx.out.append(Say(None, CancellationNotice(job.uid, ask=True)))
         for member in self.cx.members:
             if member == self.cx.me or member in self._applied or job.cancelled == ABSENT:
                 continue
@@ -120,12 +121,7 @@
             self.cx.out.append(
                 Say(
                     member,
-                    {
-                        "t": "vouch?",
-                        "inc": self.authority.inc,
-                        "n": self._number,
-                        "applied": job.cancelled - 1,
-                    },
+                    GrantRequest(self.authority.inc, self._number, Stamp(job.cancelled - 1)),
                 )
             )
 
@@ -139,11 +135,11 @@
         else:
             self._applied[member] = Stamp(applied)
 
-    def knowledge(self, uid: JobId) -> dict[str, object]:
+    def knowledge(self, uid: JobId) -> CancellationAck:
         """This node's word that it knows of the cancellation, and whether as its job's owner."""
         job = self.jobs.get(uid)
         owns = job is not None and self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
-        return {"t": "knows", "uid": uid, "owner": owns}
+        return CancellationAck(uid, owns)
 
     def told(self, member: Member, uid: JobId, owner: bool) -> None:
         if uid in self._confirmed:
--- a/runcourse/core/inventory.py
+++ b/runcourse/core/inventory.py
@@ -4,8 +4,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
+from ..wire.peer_messages import UnknownMachine
 from .context import Context
 from .ids import ABSENT, LONG_AGO, Instant, MachineId, Member, ShareNo, Stamp, Team
 from .machine import Record
@@ -128,7 +128,12 @@
         record = self.fleet.records.get(id)
         load = self.loads.get(record.share) if record else None
         info = load.machines.get(str(id)) if load else None
-        return load is not None and info is not None and info[0] >= 0 and load.at - info[0] > at
+        return (
+            load is not None
+            and info is not None
+            and info.heard_ago_s >= 0
+            and load.at - info.heard_ago_s > at
+        )
 
     def _drop_records(self, ids: list[MachineId]) -> None:
         """Machines that are surely gone. Their ids stay in the store: late copies of their
@@ -179,26 +184,15 @@
                 self.cx.out.append(
                     Say(
                         Member(leader),
-                        {
-                            "t": "unknown",
-                            "id": report.machine,
-                            "addr": report.addr,
-                            "type": report.type,
-                            "zone": report.zone,
-                            "spot": report.spot,
-                        },
+                        UnknownMachine(
+                            report.machine, report.addr, report.type, report.zone, report.spot
+                        ),
                     )
                 )
 
-    def told_unknown(self, message: dict[str, Any]) -> None:
+    def told_unknown(self, message: UnknownMachine) -> None:
         if self.leading():
-            self._check_unknown(
-                MachineId(str(message["id"])),
-                str(message["addr"]),
-                str(message["type"]),
-                str(message["zone"]),
-                bool(message["spot"]),
-            )
+            self._check_unknown(message.id, message.addr, message.type, message.zone, message.spot)
 
     def _check_unknown(self, id: MachineId, addr: str, type_: str, zone: str, spot: bool) -> None:
         """A report is no proof that its machine exists: the cloud's list is, or the worker
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from ..wire.peer_messages import TransferredState
 from .context import Context
 from .ids import (
     LONG_AGO,
@@ -25,7 +26,6 @@
     ShareNo,
     Stamp,
     TaskId,
-    Token,
     later,
 )
 from .jobs import Job, Jobs
@@ -85,7 +85,7 @@
         self._open = 0
         self._open_doubted = 0
         self._looked_at = LONG_AGO
-        self._given: dict[MachineId, tuple[Instant, dict[str, Any]]] = {}
+        self._given: dict[MachineId, tuple[Instant, TransferredState]] = {}
         store.listen(MACHINE, self._record_changed)
         store.listen(CATALOG, self._catalog_changed)
         store.listen(TYPES, self._catalog_changed)
@@ -142,22 +142,21 @@
 
     # --- machines that change owners -----------------------------------------------------
 
-    def state_of(self, machine: Machine) -> dict[str, Any]:
+    def state_of(self, machine: Machine) -> TransferredState:
         """What the next owner needs to command the machine before its next report."""
-        return {
-            "machine": machine.id,
-            "addr": machine.addr,
-            "session": machine.session,
-            "seq": machine.seq,
-            "token": machine.token_seen,
-            "images": list(machine.images.items()),
-        }
-
-    def given(self, state: dict[str, Any]) -> None:
+        return TransferredState(
+            machine.id,
+            machine.addr,
+            machine.session,
+            machine.seq,
+            machine.token_seen,
+            list(machine.images.items()),
+        )
+
+    def given(self, state: TransferredState) -> None:
         """A former owner passes a machine's state on, perhaps before its record is seen."""
-        id = MachineId(str(state["machine"]))
-        self._given[id] = (self.cx.now, state)
-        machine = self.machines.get(id)
+        self._given[state.machine] = (self.cx.now, state)
+        machine = self.machines.get(state.machine)
         if machine is not None:
             self._take_over_state(machine)
 
@@ -167,14 +166,14 @@
             return
         del self._given[machine.id]
         machine.fetches = None
-        for image, size in state["images"]:
-            machine.images[str(image)] = float(size)
+        for image, size in state.images:
+            machine.images[image] = size
         # Only a machine that came empty from its owner, and nothing newer heard of it.
         if machine.settled and not machine.session:
-            machine.addr = str(state["addr"])
-            machine.session = Session(int(state["session"]))
-            machine.seq = int(state["seq"])
-            machine.token_seen = Token(int(state["token"]))
+            machine.addr = state.addr
+            machine.session = state.session
+            machine.seq = state.seq
+            machine.token_seen = state.token
             machine.heard = machine.up_since = self.cx.now
             self._dirty[machine.id] = None  # an empty command shows that it can be reached
             self.watcher.changed()
--- a/runcourse/core/needs.py
+++ b/runcourse/core/needs.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import NamedTuple
 
+from ..wire.peer_messages import DemandEntry, MachineLoad, ShareLoad
 from .context import Context
 from .ids import Instant, ShareNo
 from .machine import Machine
@@ -14,43 +15,63 @@
 Place = tuple[str, str, bool]  # type, zone, spot
 
 
+class _Shape(NamedTuple):
+    """What tasks have in common that may use the same machines."""
+
+    size: Size
+    rank: int
+    spot: bool
+    types: tuple[str, ...] | None
+    zone: str | None
+    closed_zones: tuple[str, ...]
+    block: str  # the job, if it is a gang bound to one zone
+
+
 class Need:
     """Waiting tasks of one shape in one share, or those of one gang."""
 
     __slots__ = (
-        "age",
         "asked",
         "block",
         "count",
+        "entry",
         "hire",
         "lacks",
-        "rank",
-        "raw",
         "room",
         "shut",
         "size",
-        "spot",
-        "types",
         "zone",
     )
 
-    def __init__(self, raw: dict[str, Any]) -> None:
-        self.raw = raw
-        self.size = Size(*raw["size"])
-        self.asked = int(raw["n"])
-        self.hire = int(raw["hire"])  # for how many of them to have machines
+    def __init__(self, entry: DemandEntry) -> None:
+        self.entry = entry
+        self.size = Size(*entry.size)
+        self.asked = entry.waiting
+        self.hire = entry.hire
         self.count = self.hire  # what is left of that while a plan is made
-        self.age = float(raw["age"])  # how long the oldest has waited
-        self.rank = int(raw["rank"])
-        self.spot = bool(raw["spot"])
-        self.types: list[str] | None = raw["types"]
-        self.zone: str | None = raw["zone"]
+        self.zone = entry.zone  # narrowed while a plan is made
+        self.shut = entry.closed_zones
         # All in one zone or none: fewer machines than that are of no use. The former version's
         # owners have no such needs.
-        self.block = bool(raw.get("block", False))
-        self.room: dict[str, int] = raw.get("room", {})  # its tasks that fit already, by zone
+        self.block = entry.block
+        self.room = entry.room
         self.lacks: dict[str, int] = {}  # for how many there is none, by zone, while planning
-        self.shut: list[str] = raw["shut"]  # zones that `spread` closes
+
+    @property
+    def age(self) -> float:
+        return self.entry.age
+
+    @property
+    def rank(self) -> int:
+        return self.entry.rank
+
+    @property
+    def spot(self) -> bool:
+        return self.entry.spot
+
+    @property
+    def types(self) -> list[str] | None:
+        return self.entry.types
 
 
 class Load:
@@ -58,12 +79,11 @@
 
     __slots__ = ("at", "machines", "needs", "used")
 
-    def __init__(self, raw: dict[str, Any], at: Instant) -> None:
+    def __init__(self, message: ShareLoad, at: Instant) -> None:
         self.at = at
-        self.needs = [Need(n) for n in raw["needs"]]
-        self.used = float(raw["used"])
-        # machine -> (seconds since heard or -1 for never, seconds empty or -1, used CPUs)
-        self.machines: dict[str, list[float]] = raw["machines"]
+        self.needs = [Need(entry) for entry in message.needs]
+        self.used = message.used
+        self.machines = message.machines
 
 
 def serves(need: Need, type_: str, zone: str, spot: bool) -> bool:
@@ -95,46 +115,48 @@
     return room
 
 
-def load_of(cx: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler) -> dict[str, Any]:
+def load_of(cx: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler) -> ShareLoad:
     """What the owner of a share tells of it."""
-    now = cx.now
-    needs: dict[tuple[Any, ...], int] = {}
-    hires: dict[tuple[Any, ...], int] = {}
-    ages: dict[tuple[Any, ...], float] = {}
+    return ShareLoad(
+        share,
+        sum(m.used.cpus for m in fleet.of_share(share)),
+        {str(m.id): _machine_load(cx, m) for m in fleet.of_share(share)},
+        _entries(cx, share, fleet, scheduler),
+    )
+
+
+def _machine_load(cx: Context, machine: Machine) -> MachineLoad:
+    empty = not machine.busy and machine.empty_since is not None
+    idle = cx.now - machine.empty_since if empty and machine.empty_since is not None else -1.0
+    return MachineLoad(round(heard_ago(cx, machine), 2), round(idle, 2), machine.used.cpus)
+
+
+def _entries(cx: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler) -> list[DemandEntry]:
+    """What waits, with the jobs of one shape taken together."""
+    found: dict[_Shape, list[int]] = {}
+    ages: dict[_Shape, float] = {}
     for job, count, shut in scheduler.unmet.get(share, ()):
         spec = job.spec
         # A gang in one zone is a need of its own; its first task decides the zone, if placed.
         block = job.uid if spec.gang and spec.together else ""
-        key = (tuple(job.size), spec.rank, spec.spot, spec.types, spec.zone, shut, block)
-        needs[key] = needs.get(key, 0) + count
-        hires[key] = hires.get(key, 0) + scheduler.needed(job, count)
-        ages[key] = max(ages.get(key, 0.0), now - job.submitted)
-    machines = {}
-    used = 0.0
-    for m in fleet.of_share(share):
-        idle = -1.0 if m.busy or m.empty_since is None else now - m.empty_since
-        heard = heard_ago(cx, m)
-        used += m.used.cpus
-        machines[str(m.id)] = [round(heard, 2), round(idle, 2), m.used.cpus]
-    return {
-        "t": "load",
-        "share": share,
-        "used": used,
-        "machines": machines,
-        "needs": [
-            {
-                "size": list(k[0]),
-                "rank": k[1],
-                "spot": k[2],
-                "types": list(k[3]) if k[3] is not None else None,
-                "zone": k[4],
-                "shut": list(k[5]),
-                "block": bool(k[6]),
-                "room": _room(share, fleet, Size(*k[0]), k[2]) if k[6] else {},
-                "n": n,
-                "hire": hires[k],
-                "age": ages[k],
-            }
-            for k, n in needs.items()
-        ],
-    }
+        shape = _Shape(job.size, spec.rank, spec.spot, spec.types, spec.zone, shut, block)
+        counts = found.setdefault(shape, [0, 0])
+        counts[0] += count
+        counts[1] += scheduler.needed(job, count)
+        ages[shape] = max(ages.get(shape, 0.0), cx.now - job.submitted)
+    return [
+        DemandEntry(
+            size=(shape.size.cpus, shape.size.memory, shape.size.gpus),
+            rank=shape.rank,
+            spot=shape.spot,
+            types=list(shape.types) if shape.types is not None else None,
+            zone=shape.zone,
+            closed_zones=list(shape.closed_zones),
+            waiting=waiting,
+            hire=hire,
+            age=ages[shape],
+            block=bool(shape.block),
+            room=_room(share, fleet, shape.size, shape.spot) if shape.block else {},
+        )
+        for shape, (waiting, hire) in found.items()
+    ]
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -8,13 +8,24 @@
 import random
 from typing import Any
 
-import msgspec
-
 from ..config import Operators, Platform
+from ..wire.peer_messages import (
+    CancellationAck,
+    CancellationNotice,
+    GrantRequest,
+    GrantResponse,
+    Heartbeat,
+    PeerMessage,
+    RelayedReport,
+    RelayedResponse,
+    ShareLoad,
+    SyncRequest,
+    UnknownMachine,
+)
 from .authority import Authority
 from .confirmations import Confirmations
 from .context import Context
-from .ids import LONG_AGO, Instant, JobId, MachineId, Member, ShareNo, Stamp, Token
+from .ids import LONG_AGO, Instant, JobId, MachineId, Member, ShareNo, Stamp
 from .jobs import PART_BITS, Jobs
 from .machines import Fleet
 from .quota import Quota
@@ -27,11 +38,9 @@
     AnswerBeat,
     Beat,
     Health,
-    Order,
     Outcome,
     PeerSaid,
     Poll,
-    Report,
     Say,
     Submit,
     Tick,
@@ -119,14 +128,7 @@
             case Tick():
                 self._tick()
             case PeerSaid():
-                try:
-                    self._peer_said(event.member, event.message)
-                except (KeyError, TypeError, ValueError, msgspec.ValidationError) as problem:
-                    self.cx.log(
-                        "warning",
-                        f"peer {event.member}: malformed message:"
-                        f" {type(problem).__name__} {problem}",
-                    )
+                self._peer_said(event.member, event.message)
             case Health():
                 self._health(event)
             case _:
@@ -148,13 +150,12 @@
             self.cx.out.append(
                 Say(
                     None,
-                    {
-                        "t": "hello",
-                        "contact": self._contact(),
-                        "running": self.fleet.running_counts(),
-                        "silent": self.fleet.silent(),
-                        "applied": self.store.applied,
-                    },
+                    Heartbeat(
+                        self._contact(),
+                        {str(uid): n for uid, n in self.fleet.running_counts().items()},
+                        self.fleet.silent(),
+                        self.store.applied,
+                    ),
                 )
             )
             for seen in (self._redirected, self._relaying):
@@ -303,76 +304,61 @@
         self._relaying.setdefault(id, now)
         self._relay_no += 1
         self._relays[self._relay_no] = (beat.request, Instant(now + RELAY_TIMEOUT_S))
-        self.cx.out.append(
-            Say(
-                owner,
-                {"t": "beat", "n": self._relay_no, "report": msgspec.to_builtins(beat.report)},
-            )
-        )
+        self.cx.out.append(Say(owner, RelayedReport(self._relay_no, beat.report)))
 
     def _answer(self, beat: Beat, answer: AnswerBeat) -> None:
         if beat.relayed_by is None:
             self.cx.out.append(answer)
         else:
-            self.cx.out.append(
-                Say(
-                    beat.relayed_by,
-                    {
-                        "t": "beaten",
-                        "n": beat.request,
-                        "status": answer.status,
-                        "token": answer.token,
-                        "orders": msgspec.to_builtins(answer.orders),
-                    },
-                )
+            response = RelayedResponse(
+                beat.request, answer.status, answer.token, list(answer.orders)
             )
+            self.cx.out.append(Say(beat.relayed_by, response))
 
     # --- peers ---------------------------------------------------------------------------
 
-    def _peer_said(self, member: Member, message: dict[str, Any]) -> None:
-        match message["t"]:
-            case "hello":
-                self._peer_contact[member] = (self.cx.now, bool(message["contact"]))
-                self._peer_running[member] = dict(message["running"])
-                self._silent[member] = set(message["silent"])
-                self.confirmations.heard(member, message.get("applied"))
-                self.users.running = {
-                    JobId(uid): n
-                    for counts in self._peer_running.values()
-                    for uid, n in counts.items()
-                }
-            case "sync":
+    def _peer_said(self, member: Member, message: PeerMessage) -> None:
+        match message:
+            case Heartbeat():
+                self._heartbeat(member, message)
+            case SyncRequest():
                 self.store.sync()
-            case "cancelled":
-                uid = JobId(str(message["uid"]))
+            case CancellationNotice():
                 self.store.sync()
-                self._told_cancelled([uid])
-                if message.get("ask"):
-                    self.cx.out.append(Say(member, self.confirmations.knowledge(uid)))
-            case "knows":
-                self.confirmations.told(member, JobId(str(message["uid"])), bool(message["owner"]))
-            case "vouch?":
+                self._told_cancelled([message.uid])
+                if message.ask:
+                    self.cx.out.append(Say(member, self.confirmations.knowledge(message.uid)))
+            case CancellationAck():
+                self.confirmations.told(member, message.uid, message.owner)
+            case GrantRequest():
                 self.authority.asked(member, message)
-            case "vouch":
-                self.confirmations.vouched(member, int(message["n"]), message["cancelled"])
+            case GrantResponse():
+                self.confirmations.vouched(member, message.number, message.cancelled)
                 self.authority.answered(member, message)
-            case "load":
+            case ShareLoad():
                 self.rental.told_load(message)
-            case "unknown":
+            case UnknownMachine():
                 self.rental.inventory.told_unknown(message)
-            case "retire" | "give" | "drain" | "given" | "vacate" | "yield":
+            case RelayedReport():
+                self._beat(Beat(message.number, message.report, member))
+            case RelayedResponse():
+                self._relayed(message)
+            case _:
                 self.rental.yielding.asked(message)
-            case "beat":
-                report = msgspec.convert(message["report"], Report)
-                self._beat(Beat(int(message["n"]), report, member))
-            case "beaten":
-                relay = self._relays.pop(int(message["n"]), None)
-                if relay is not None:
-                    orders = tuple(msgspec.convert(o, Order) for o in message["orders"])
-                    self.cx.out.append(
-                        AnswerBeat(
-                            relay[0], int(message["status"]), Token(int(message["token"])), orders
-                        )
-                    )
-            case other:
-                self.cx.log("debug", f"peer {member}: unknown message {other!r}")
+
+    def _heartbeat(self, member: Member, message: Heartbeat) -> None:
+        self._peer_contact[member] = (self.cx.now, message.contact)
+        self._peer_running[member] = message.running
+        self._silent[member] = set(message.silent)
+        self.confirmations.heard(member, message.applied)
+        self.users.running = {
+            JobId(uid): n for counts in self._peer_running.values() for uid, n in counts.items()
+        }
+
+    def _relayed(self, message: RelayedResponse) -> None:
+        """The owner's response to a report that was passed on: the worker gets it."""
+        relay = self._relays.pop(message.number, None)
+        if relay is not None:
+            self.cx.out.append(
+                AnswerBeat(relay[0], message.status, message.token, tuple(message.orders))
+            )
--- a/runcourse/core/rental.py
+++ b/runcourse/core/rental.py
@@ -6,6 +6,7 @@
 from collections import deque
 from typing import Any
 
+from ..wire.peer_messages import DrainMachines, ReturnMachine, ShareLoad
 from .authority import Authority
 from .balance import Balance
 from .context import Context
@@ -169,8 +170,8 @@
             if leader and leader != self.cx.me:
                 self.cx.out.append(Say(Member(leader), message))
 
-    def told_load(self, message: dict[str, Any]) -> None:
-        self.loads[ShareNo(int(message["share"]))] = Load(message, self.cx.now)
+    def told_load(self, message: ShareLoad) -> None:
+        self.loads[message.share] = Load(message, self.cx.now)
 
     # --- catalogue -----------------------------------------------------------------------
 
@@ -241,8 +242,8 @@
                 since = now
             self._recorded_at[id] = (record.stamp, since)
             info = load.machines.get(str(id)) if load else None
-            self._note_boots(id, type_, info is not None and info[0] >= 0)
-            if info is None or info[0] < 0:
+            self._note_boots(id, type_, info is not None and info.heard_ago_s >= 0)
+            if info is None or info.heard_ago_s < 0:
                 if now - since < self._late_after(type_):
                     place = (record.type, record.zone, record.spot)
                     there = booting[record.share]
@@ -251,12 +252,12 @@
                     # Never came up, or much too late: returned and replaced elsewhere.
                     self.cx.log("info", f"machine {id} did not come up, returned")
                     self._note_refusal(record.type, record.zone, record.spot, 10.0)
-                    self.yielding.ask_owner(record.share, {"t": "retire", "machine": id})
+                    self.yielding.ask_owner(record.share, ReturnMachine(id))
                     again = Instant(now - self._boot_limit(type_) + 3.0)
                     self._recorded_at[id] = (record.stamp, again)
                     self._booting.pop(id, None)
-            elif info[1] >= 0:
-                idle[record.share].append((info[1], id, record))
+            elif info.idle_s >= 0:
+                idle[record.share].append((info.idle_s, id, record))
         # What is being hired or recorded counts as on its way, or it would be hired again.
         for record in self.inventory.adopting():
             place = (record.type, record.zone, record.spot)
@@ -283,7 +284,7 @@
         task will go to which of them is not decided here."""
         left = dict(booting)
         for need in needs:
-            need.count, need.zone = need.hire, need.raw["zone"]
+            need.count, need.zone = need.hire, need.entry.zone
             if need.block:
                 self._leave_block(need, left)
                 continue
@@ -484,7 +485,7 @@
                 ):
                     capacity -= type_.cpus
                     self._cpus[share] -= type_.cpus
-                    self.yielding.ask_owner(share, {"t": "retire", "machine": id})
+                    self.yielding.ask_owner(share, ReturnMachine(id))
         if now >= self._drain_at and not any(idle.values()):
             self._drain(capacity, keep)
 
@@ -515,4 +516,4 @@
                 self._drain_at = Instant(self.cx.now + 4.0)
                 # A large surplus would last for many such steps: an eighth of it at once.
                 number = max(1, int((capacity - keep) / largest / 8))
-                self.yielding.ask_owner(share, {"t": "drain", "share": share, "n": number})
+                self.yielding.ask_owner(share, DrainMachines(share, number))
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
@@ -10,6 +10,9 @@
 from .jobs import JobSpec
 from .placement import Size
 
+if TYPE_CHECKING:
+    from ..wire.peer_messages import PeerMessage
+
 
 class MachineType(NamedTuple):
     name: str
@@ -122,7 +125,7 @@
 
 class PeerSaid(msgspec.Struct):
     member: Member
-    message: dict[str, Any]
+    message: PeerMessage
 
 
 # --- effects -----------------------------------------------------------------------------
@@ -222,7 +225,7 @@
     """A message to one peer, or to all of them when `member` is None."""
 
     member: Member | None
-    message: dict[str, Any]
+    message: PeerMessage
 
 
 class Log(msgspec.Struct):
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 from ..wire.messages import job_state
+from ..wire.peer_messages import CancellationNotice, PeerMessage, SyncRequest
 from .confirmations import Confirmations
 from .context import Context
 from .ids import ABSENT, JobId, ShareNo, Stamp, Team, later
@@ -206,7 +207,7 @@
             self._creating[spec.team] -= 1
             if outcome == "ok":
                 self.cx.out.append(Answer(request, 201, job_state(uid, "queued")))
-                self.tell_owner(self.shares.of_team(Team(spec.team)), {"t": "sync"})
+                self.tell_owner(self.shares.of_team(Team(spec.team)), SyncRequest())
             elif outcome == "conflict":
                 self._after_sync(request, lambda: self._known(request, uid))
             else:
@@ -220,7 +221,7 @@
             later(self.cx.now, GIVEN_UP_S),
         )
 
-    def tell_owner(self, share: ShareNo, message: dict[str, Any]) -> None:
+    def tell_owner(self, share: ShareNo, message: PeerMessage) -> None:
         owner = self.shares.living_owner(share)
         if owner is not None and owner != self.cx.me:
             self.cx.out.append(Say(owner, message))
@@ -253,7 +254,7 @@
             if outcome == "ok":
                 # Everybody, as the owner may have lost contact, and be vouched for by any of
                 # them: they pass it on with their vouch.
-                self.cx.out.append(Say(None, {"t": "cancelled", "uid": uid}))
+                self.cx.out.append(Say(None, CancellationNotice(uid)))
                 self._answer_final(request, uid)
             elif outcome == "unknown":
                 # It may stand, and others may read it: they too tell it only when it is safe.
--- a/runcourse/core/yielding.py
+++ b/runcourse/core/yielding.py
@@ -6,6 +6,15 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..wire.peer_messages import (
+    DrainMachines,
+    MachineRequest,
+    ReturnMachine,
+    TransferMachine,
+    TransferredState,
+    VacateMachine,
+    YieldMachines,
+)
 from .context import Context
 from .ids import Instant, MachineId, ShareNo, Stamp
 from .machine import Machine
@@ -38,36 +47,44 @@
         self._give_promised()
         self._retry()
 
-    def asked(self, message: dict[str, Any]) -> None:
-        if message["t"] == "given":
-            self.fleet.given(message)
-            return
-        if message["t"] == "vacate":
-            self._vacate(message)
-            return
-        if message["t"] == "yield":
-            self._yield(message)
-            return
-        if message["t"] == "drain":
-            share = ShareNo(int(message["share"]))
-            if self.shares.may_command(share):
-                self.scheduler.moves.drain(share, int(message["n"]))
-            return
-        machine = self.fleet.machines.get(MachineId(str(message["machine"])))
-        if (
-            machine is None
-            or machine.busy
-            or machine.moving
-            or machine.record.leaving
-            or not self.shares.may_command(machine.share.number)
-        ):
-            return
-        if message["t"] == "retire":
-            self.change_record(machine, leaving=True)
-        elif message["t"] == "give":
-            share = ShareNo(int(message["share"]))
-            if share != machine.share.number and 0 <= share < len(self.cx.members):
-                self.change_record(machine, share=share)
+    def asked(self, request: MachineRequest) -> None:
+        """Carry out what the leader asks, or what a former owner passes on."""
+        match request:
+            case TransferredState():
+                self.fleet.given(request)
+            case VacateMachine():
+                self._vacate(request)
+            case YieldMachines():
+                self._yield(request)
+            case DrainMachines():
+                if self.shares.may_command(request.share):
+                    self.scheduler.moves.drain(request.share, request.number)
+            case ReturnMachine():
+                machine = self._free(request.machine)
+                if machine is not None:
+                    self.change_record(machine, leaving=True)
+            case TransferMachine():
+                machine = self._free(request.machine)
+                if machine is not None and self._other(machine.share.number, request.share):
+                    self.change_record(machine, share=request.share)
+
+    def _free(self, id: MachineId) -> Machine | None:
+        """The machine, if it may leave its share or the fleet now."""
+        machine = self.fleet.machines.get(id)
+        if machine is None or not self._may_leave(machine):
+            return None
+        return machine
+
+    def _may_leave(self, machine: Machine) -> bool:
+        return (
+            not machine.busy
+            and not machine.moving
+            and not machine.record.leaving
+            and self.shares.may_command(machine.share.number)
+        )
+
+    def _other(self, share: ShareNo, to: ShareNo) -> bool:
+        return to != share and 0 <= to < len(self.cx.members)
 
     def change_record(self, machine: Machine, **changes: Any) -> None:
         """Give a machine away or mark it leaving; nothing new goes there from now on."""
@@ -88,7 +105,7 @@
             if result == "ok":
                 machine.moving = False
                 if "share" in changes:
-                    self.ask_owner(changes["share"], {"t": "given", **state})
+                    self.ask_owner(changes["share"], state)
             elif result == "conflict":
                 # Perhaps an earlier try was applied: look before anything new goes there.
                 self.store.sync(checked)
@@ -116,22 +133,16 @@
             machine = self.fleet.machines.get(id)
             if machine is None or self.cx.now > until:
                 del self._promised[id]
-            elif (
-                not machine.busy
-                and not machine.moving
-                and not machine.record.leaving
-                and self.shares.may_command(machine.share.number)
-            ):
+            elif self._may_leave(machine):
                 del self._promised[id]
                 self.change_record(machine, share=to)
 
-    def _yield(self, message: dict[str, Any]) -> None:
+    def _yield(self, request: YieldMachines) -> None:
         """Machines of that many CPUs, those promised before included, go as they fall empty."""
-        share, to = ShareNo(int(message["share"])), ShareNo(int(message["to"]))
-        need = Need(message["need"])
-        if not self.shares.may_command(share) or to == share or not 0 <= to < len(self.cx.members):
+        share, to, need = request.share, request.to, Need(request.need)
+        if not self.shares.may_command(share) or not self._other(share, to):
             return
-        half = left = float(message["cpus"])
+        half = left = request.cpus
         for id, (other, _) in self._promised.items():
             machine = self.fleet.machines.get(id)
             if machine is not None and machine.type is not None and other == to:
@@ -151,13 +162,11 @@
                 machine.draining_until = Instant(self.cx.now + YIELD_S)
                 self._promised[machine.id] = (to, machine.draining_until)
 
-    def _vacate(self, message: dict[str, Any]) -> None:
-        share, to = ShareNo(int(message["share"])), ShareNo(int(message["to"]))
-        need = Need(message["need"])
+    def _vacate(self, request: VacateMachine) -> None:
+        share, to, need = request.share, request.to, Need(request.need)
         if (
             not self.shares.may_command(share)
-            or to == share
-            or not 0 <= to < len(self.cx.members)
+            or not self._other(share, to)
             or any(job.spec.rank <= need.rank for job, _, _ in self.scheduler.unmet.get(share, ()))
         ):
             return
@@ -196,7 +205,7 @@
                     self.cx.log("warning", f"machine {m.id}: {why}, returned")
                     self.change_record(m, leaving=True)
 
-    def ask_owner(self, share: ShareNo, message: dict[str, Any]) -> None:
+    def ask_owner(self, share: ShareNo, message: MachineRequest) -> None:
         owner = self.shares.living_owner(share)
         if owner == self.cx.me:
             self.asked(message)
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -19,6 +19,7 @@
 from .net.http import Reply, Server
 from .net.peers import PeerLinks
 from .wire import messages as wire
+from .wire.peer_messages import OperatorQuestion, PeerMessage
 
 log = logging.getLogger("runcourse")
 
@@ -144,11 +145,11 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("internal error", exc_info=task.exception())
 
-    def _heard(self, member: Member, message: dict[str, Any]) -> None:
+    def _heard(self, member: Member, message: PeerMessage) -> None:
         self._feed(t.PeerSaid(member, message))
 
-    def _operators_ask(self, question: dict[str, Any]) -> dict[str, Any]:
-        if question.get("ask") == "status":
+    def _operators_ask(self, question: OperatorQuestion) -> dict[str, Any]:
+        if question.ask == "status":
             return status_of(self.node)
         return {"error": "unknown question"}
 
@@ -166,7 +167,7 @@
 
     def malformed(self) -> int:
         """Requests and answers that were not what the protocol says."""
-        parties = (self._state, self._cloud, self._workers)
+        parties = (self._state, self._cloud, self._workers, self._links)
         return sum(self._malformed.values()) + sum(sum(p.malformed.values()) for p in parties)
 
     # --- requests ------------------------------------------------------------------------
--- a/runcourse/net/peers.py
+++ b/runcourse/net/peers.py
@@ -12,6 +12,15 @@
 import msgspec
 
 from ..core.ids import Member
+from ..wire.peer_messages import (
+    Introduction,
+    MalformedPeerMessage,
+    OperatorQuestion,
+    PeerMessage,
+    decode,
+    decode_first,
+    encode,
+)
 from .http import Server
 
 log = logging.getLogger("runcourse.peers")
@@ -20,9 +29,6 @@
 LINE_LIMIT = 1 << 20
 STUCK_BYTES = 1 << 20
 
-_encoder = msgspec.json.Encoder()
-_decoder = msgspec.json.Decoder()
-
 
 class _Outbound:
     """Keeps a connection to one peer; what can't be sent soon is dropped, oldest first."""
@@ -34,8 +40,8 @@
         self._queue: deque[bytes] = deque(maxlen=QUEUE)
         self._wake = asyncio.Event()
 
-    def send(self, message: dict[str, Any]) -> None:
-        self._queue.append(_encoder.encode(message) + b"\n")
+    def send(self, line: bytes) -> None:
+        self._queue.append(line)
         self._wake.set()
 
     async def run(self) -> None:
@@ -56,7 +62,7 @@
             await asyncio.sleep(0.1)
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(_encoder.encode({"member": self._me}) + b"\n")
+        writer.write(encode(Introduction(self._me)))
         ended = asyncio.ensure_future(reader.read(1))
         try:
             while not ended.done():
@@ -80,8 +86,8 @@
         self,
         me: Member,
         peers: dict[Member, tuple[str, int]],
-        heard: Callable[[Member, dict[str, Any]], None],
-        operators_ask: Callable[[dict[str, Any]], dict[str, Any]],
+        heard: Callable[[Member, PeerMessage], None],
+        operators_ask: Callable[[OperatorQuestion], dict[str, Any]],
         http: Server,
     ) -> None:
         self._out = {m: _Outbound(me, *addr) for m, addr in peers.items()}
@@ -90,6 +96,7 @@
         self._http = http
         self._server: asyncio.Server | None = None
         self._tasks: list[asyncio.Task[None]] = []
+        self.malformed: dict[str, int] = {}  # lines that were ignored, by kind
 
     async def start(self, host: str, port: int) -> None:
         self._server = await asyncio.start_server(self._serve, host, port, limit=LINE_LIMIT)
@@ -101,10 +108,11 @@
         if self._server is not None:
             self._server.close()
 
-    def send(self, member: Member | None, message: dict[str, Any]) -> None:
+    def send(self, member: Member | None, message: PeerMessage) -> None:
+        line = encode(message)
         for name, out in self._out.items():
             if member is None or member == name:
-                out.send(message)
+                out.send(line)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -113,19 +121,30 @@
             if begun.startswith(b"GET "):
                 await self._http.serve(reader, writer, begun)
                 return
-            first = _decoder.decode(begun)
-            if isinstance(first, dict) and first.get("ask"):
-                writer.write(_encoder.encode(self._operators_ask(first)) + b"\n")
+            first = decode_first(begun)
+            if isinstance(first, OperatorQuestion):
+                writer.write(msgspec.json.encode(self._operators_ask(first)) + b"\n")
                 await writer.drain()
-                return
-            member = Member(first["member"])
-            if member not in self._out:
-                return
-            while line := await reader.readline():
-                message = _decoder.decode(line)
-                if isinstance(message, dict):
-                    self._heard(member, message)
-        except (OSError, TimeoutError, ValueError, KeyError, TypeError, msgspec.DecodeError):
+            elif first.member in self._out:
+                while line := await reader.readline():
+                    self._receive(first.member, line)
+        except MalformedPeerMessage as problem:
+            self._note_malformed("unknown", problem)
+        except (OSError, TimeoutError, ValueError):
             log.debug("peer connection ended", exc_info=True)
         finally:
             writer.close()
+
+    def _receive(self, member: Member, line: bytes) -> None:
+        try:
+            message = decode(line)
+        except MalformedPeerMessage as problem:
+            self._note_malformed(member, problem)
+        else:
+            self._heard(member, message)
+
+    def _note_malformed(self, sender: str, problem: MalformedPeerMessage) -> None:
+        """A faulty or unknown message is counted, logged once a kind, and ignored."""
+        self.malformed[problem.kind] = self.malformed.get(problem.kind, 0) + 1
+        if self.malformed[problem.kind] == 1:
+            log.warning("malformed message from %s (%s): %s", sender, problem.kind, problem)
--- a/tests/production.py
+++ b/tests/production.py
@@ -16,6 +16,8 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 ROOT = Path(__file__).resolve().parent.parent
 STORED = ROOT / "tests" / "data" / "production-store.json"
 NAME = "runcourse_production"
@@ -82,17 +84,27 @@
 
     def handle(self, now: float, event: Any) -> list[Any]:
         from runcourse.core import types as t
+        from runcourse.wire import peer_messages
 
         values = {f: getattr(event, f) for f in event.__struct_fields__}
         if isinstance(event, t.Beat):
             values["report"] = self._report(event.report)
+        if isinstance(event, t.PeerSaid):  # as lines: what it reads are plain maps
+            values["message"] = json.loads(peer_messages.encode(event.message))
         if isinstance(event, t.Outcome) and isinstance(event.body, t.Report):
             values["body"] = self._report(event.body)
         effects = self.node.handle(now, getattr(self.types, type(event).__name__)(**values))
-        return [
-            getattr(t, type(e).__name__)(**{f: getattr(e, f) for f in e.__struct_fields__})
-            for e in effects
-        ]
+        return [self._effect(e) for e in effects]
+
+    def _effect(self, effect: Any) -> Any:
+        from runcourse.core import types as t
+        from runcourse.wire import peer_messages
+
+        values = {f: getattr(effect, f) for f in effect.__struct_fields__}
+        if isinstance(effect, self.types.Say):
+            line = msgspec.json.encode(effect.message)
+            values["message"] = peer_messages.decode(line)
+        return getattr(t, type(effect).__name__)(**values)
 
 
 def story() -> dict[str, Any]:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -14,6 +14,7 @@
 from runcourse.core.ids import Instant, JobId, Member, Stamp
 from runcourse.core.jobs import Jobs, job_value
 from runcourse.core.node import Node
+from runcourse.wire.peer_messages import CancellationAck
 
 BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
 UID = "j-000001"
@@ -192,14 +193,12 @@
     world.withdraw(UID, taker)
     assert job.stage == "cancelled" and not node.confirmations.certain(job)
     for _ in range(3):
-        node.handle(
-            world.now, t.PeerSaid(Member(other), {"t": "knows", "uid": UID, "owner": False})
-        )
+        node.handle(world.now, t.PeerSaid(Member(other), CancellationAck(JobId(UID), owner=False)))
     assert node.confirmations.certain(job) is (len(members) == 3)
     for member in members:
         if member not in (taker, owner, other):
             node.handle(
-                world.now, t.PeerSaid(Member(member), {"t": "knows", "uid": UID, "owner": False})
+                world.now, t.PeerSaid(Member(member), CancellationAck(JobId(UID), owner=False))
             )
     assert node.confirmations.certain(job)
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,11 +6,12 @@
 from world import World, spec
 
 from runcourse.core import types as t
-from runcourse.core.ids import Attempt, Instant, Session, TaskId
+from runcourse.core.ids import Attempt, Incarnation, Instant, Session, TaskId
 from runcourse.core.jobs import Job, Jobs, job_value
 from runcourse.core.machine import Machine, Placement
 from runcourse.core.node import Node
 from runcourse.core.work import Work, permits
+from runcourse.wire.peer_messages import GrantRequest, GrantResponse
 
 
 def owner_of_some(world: World) -> tuple[Node, Machine]:
@@ -193,9 +194,12 @@
     def vouches() -> bool:
         said = node.handle(
             node.cx.now,
-            t.PeerSaid(other, {"t": "vouch?", "inc": inc, "n": 1, "applied": node.store.applied}),
+            t.PeerSaid(other, GrantRequest(Incarnation(str(inc)), 1, node.store.applied)),
+        )
+        return any(
+            isinstance(e, t.Say) and isinstance(e.message, GrantResponse) and e.message.ok
+            for e in said
         )
-        return any(isinstance(e, t.Say) and e.message.get("ok") for e in said)
 
     node.store.failing = True
     node.store.failed_at = node.cx.now
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -7,7 +7,6 @@
 from itertools import pairwise
 from typing import Any
 
-import msgspec
 import pytest
 import uvloop
 from test_failures import ready
@@ -16,10 +15,11 @@
 
 from runcourse.config import Quota
 from runcourse.core import types as t
-from runcourse.core.ids import Instant, Member
+from runcourse.core.ids import Instant, Member, ShareNo
 from runcourse.net.clients import Cloud
 from runcourse.net.http import Client, Reply, Server, TooLate, Unanswered
 from runcourse.net.peers import QUEUE, STUCK_BYTES, _Outbound
+from runcourse.wire.peer_messages import MachineLoad, ShareLoad, encode
 
 BEAT = "/agent/beat"
 
@@ -155,7 +155,8 @@
 def test_a_peer_that_does_not_read_holds_no_more_than_a_bounded_queue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    message = {"t": "load", "machines": {f"i-{n:06d}": [1.0, 2.0, 3.0] for n in range(1000)}}
+    machines = {f"i-{n:06d}": MachineLoad(1.0, 2.0, 3.0) for n in range(1000)}
+    line = encode(ShareLoad(ShareNo(0), 0.0, machines, []))
     writers: list[asyncio.StreamWriter] = []
     connect = asyncio.open_connection
 
@@ -173,7 +174,7 @@
         running = asyncio.create_task(link.run())
         most = 0
         for _ in range(1500):
-            link.send(message)
+            link.send(line)
             await asyncio.sleep(0)
             assert len(link._queue) <= QUEUE
             most = max([most, *(w.transport.get_write_buffer_size() for w in writers)])
@@ -183,7 +184,7 @@
 
     monkeypatch.setattr(asyncio, "open_connection", noting)
     buffered = asyncio.run(main())
-    assert 0 < buffered <= STUCK_BYTES + QUEUE * len(msgspec.json.encode(message))
+    assert 0 < buffered <= STUCK_BYTES + QUEUE * len(line)
 
 
 def test_a_client_that_is_gone_when_its_answer_is_ready_leaves_no_error() -> None:
