--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from ..wire.peer_messages import GrantRequest, GrantResponse
-from .context import DRIFT, Context
+from .context import CLOCK_DRIFT, Context
 from .ids import ABSENT, ALWAYS, LONG_AGO, Incarnation, Instant, JobId, Member, Stamp, later
 from .jobs import Jobs
 from .store import LIVE, Store
-from .types import Extend, Grant, Outcome, Say
+from .types import ExtendLease, GrantLease, Outcome, SendToPeer
 from .versions import VERSION, Versions
 
 FAILED_LATELY_S = 2.0  # beyond the longest wait for an answer of the state service
@@ -26,7 +26,7 @@
 class Authority:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         store: Store,
         jobs: Jobs,
         versions: Versions,
@@ -34,16 +34,16 @@
         on_lost: Callable[[str], None],
         on_cancelled: Callable[[list[JobId]], None],
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.jobs = jobs
         self.versions = versions
         self._on_cancelled = on_cancelled
-        self.inc = Incarnation(f"{cx.rng.getrandbits(64):016x}")
-        lease = cx.platform.settings.workers.lease_s
-        self.ttl = cx.operators.live_ttl or min(max(lease * 0.3, 1.5), 5.0)
-        self.vouch_s = max(self.ttl * 0.75, 1.0)
-        self.grant: int | None = None
+        self.inc = Incarnation(f"{context.rng.getrandbits(64):016x}")
+        lease = context.platform.settings.workers.lease_s
+        self.ttl = context.operators.live_ttl or min(max(lease * 0.3, 1.5), 5.0)
+        self.grant_s = max(self.ttl * 0.75, 1.0)
+        self.lease: int | None = None
         self.live = False  # the live key stands, as far as is known
         self.renewed = LONG_AGO  # when the newest renewal that succeeded was sent
         self._on_live = on_live
@@ -51,10 +51,10 @@
         self._busy = False
         self._next = Instant(0.0)
         self._gone: dict[Member, Incarnation] = {}  # dead incarnations this node attests
-        self._never_vouch: set[Incarnation] = set()
-        self._vouched: dict[Member, Instant] = {}  # whom this node vouches for, until when
-        self._votes: dict[Member, Instant] = {}  # who vouches for this node, until when
-        self._ask = cx.rng.getrandbits(48)  # not an earlier process's numbers
+        self._never_grant: set[Incarnation] = set()
+        self._grants_given: dict[Member, Instant] = {}  # whom this node vouches for, until when
+        self._grants_held: dict[Member, Instant] = {}  # who vouches for this node, until when
+        self._ask = context.rng.getrandbits(48)  # not an earlier process's numbers
         self._asked = LONG_AGO
         self._asked_at: dict[int, Instant] = {}
         self._refuted = False
@@ -67,30 +67,32 @@
         """End of the authority that the lease gives by itself."""
         if not self.live:
             return LONG_AGO
-        return Instant(min(self.renewed, self.store.last_synced) + self.ttl * (1 - DRIFT) - 0.05)
+        return Instant(
+            min(self.renewed, self.store.last_synced) + self.ttl * (1 - CLOCK_DRIFT) - 0.05
+        )
 
     def end(self) -> Instant:
         """Until when this node may act, as far as is known now: its lease and its contact, or
         a majority that vouches. What is decided before must not leave after it."""
         if not self.live or self._refuted:
             return self.until
-        needed = self.cx.majority - 1
+        needed = self.context.majority - 1
         if not needed:
             return ALWAYS
-        if len(self._votes) < needed:
+        if len(self._grants_held) < needed:
             return self.until
-        votes = sorted(self._votes.values(), reverse=True)
+        votes = sorted(self._grants_held.values(), reverse=True)
         return max(self.until, votes[needed - 1])
 
     def entitled(self) -> bool:
-        return self.cx.now < self.end()
+        return self.context.now < self.end()
 
     def live_inc(self, member: Member) -> Incarnation | None:
         value = self.store.get(LIVE + member)
         return Incarnation(str(value["inc"])) if value else None
 
     def live_members(self) -> list[Member]:
-        return [m for m in self.cx.members if self.live_inc(m) is not None]
+        return [m for m in self.context.members if self.live_inc(m) is not None]
 
     def attests(self, member: Member, inc: Incarnation) -> bool:
         """Did `member`, having contact, state that it saw this incarnation's lease end?"""
@@ -100,33 +102,33 @@
     # --- the lease -----------------------------------------------------------------------
 
     def tick(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         if not self.store.ready:
             return
         if not self._busy and now >= self._next:
-            if self.grant is None:
-                self._take_grant()
+            if self.lease is None:
+                self._obtain_lease()
             elif not self.live:
                 self._write_live()
             else:
                 self._extend()
         if self.live and now > self.until - self.ttl * 0.45:
-            self._ask_vouch()
+            self._request_grants()
         if now < self.until:
             self._refuted = False
 
-    def _take_grant(self) -> None:
+    def _obtain_lease(self) -> None:
         self._busy = True
 
         def done(outcome: Outcome) -> None:
             self._busy = False
-            self._next = Instant(self.cx.now + 0.2)
+            self._next = Instant(self.context.now + 0.2)
             if outcome.status == 200:
-                self.grant = int(outcome.body)
+                self.lease = int(outcome.body)
                 self.renewed = Instant(outcome.began)
                 self._write_live()
 
-        self.cx.out.append(Grant(done, int(self.ttl * 1000)))
+        self.context.emit(GrantLease(done, int(self.ttl * 1000)))
 
     def _value(self) -> dict[str, Any]:
         return {"inc": self.inc, "gone": sorted(set(self._gone.values())), "version": VERSION}
@@ -136,23 +138,23 @@
 
         def done(result: str, stamp: Stamp) -> None:
             self._busy = False
-            self._next = Instant(self.cx.now + (self.ttl / 4 if result == "ok" else 0.2))
+            self._next = Instant(self.context.now + (self.ttl / 4 if result == "ok" else 0.2))
             if result == "ok":
                 self.live = True
                 self._on_live()
             elif result == "nolease":
-                self.grant = None
+                self.lease = None
 
         # Whatever process wrote this key under this name before is dead. But a copy of its
         # write, or of this one, may yet be applied: the version makes it fail.
-        me = LIVE + self.cx.me
+        me = LIVE + self.context.me
         self.store.commit(
-            [(me, int(self.store.stamp(me)))], [(me, self._value(), self.grant)], done, Store.URGENT
+            [(me, int(self.store.stamp(me)))], [(me, self._value(), self.lease)], done, Store.URGENT
         )
 
     def _extend(self) -> None:
         self._busy = True
-        assert self.grant is not None
+        assert self.lease is not None
 
         def done(outcome: Outcome) -> None:
             self._busy = False
@@ -160,7 +162,7 @@
             self._next = (
                 Instant(outcome.began + self.ttl / 4)
                 if outcome.status == 200
-                else later(self.cx.now, 0.2)
+                else later(self.context.now, 0.2)
             )
             self.store.note_contact(outcome.status == 200, outcome.status, Instant(outcome.began))
             if outcome.status == 200:
@@ -168,23 +170,23 @@
             elif outcome.status == 404:
                 self.lose("the lease ended")
 
-        self.cx.out.append(Extend(done, self.grant))
+        self.context.emit(ExtendLease(done, self.lease))
 
     def lose(self, why: str) -> None:
         """This incarnation is over; the next one starts as a restarted process would."""
         if self.live:
-            self.cx.log("warning", f"authority lost: {why}")
+            self.context.log("warning", f"authority lost: {why}")
         self.live = False
-        self.grant = None
-        self.inc = Incarnation(f"{self.cx.rng.getrandbits(64):016x}")
-        self._votes.clear()
-        self._next = self.cx.now
+        self.lease = None
+        self.inc = Incarnation(f"{self.context.rng.getrandbits(64):016x}")
+        self._grants_held.clear()
+        self._next = self.context.now
         self._on_lost(why)
 
     def _live_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         member = Member(key[len(LIVE) :])
         self.versions.live_changed(key, value, stamp)
-        if member == self.cx.me:
+        if member == self.context.me:
             if self.live and (value is None or value.get("inc") != self.inc):
                 self.lose("the live key is gone or another's")
             return
@@ -194,17 +196,17 @@
     def saw_end(self, member: Member, inc: Incarnation) -> None:
         """`member`'s lease is seen to have ended: never vouch for that incarnation again,
         and say so in the live key, which only a node with contact can write."""
-        self._never_vouch.add(inc)
+        self._never_grant.add(inc)
         if self._gone.get(member) == inc or not self.live or self._busy:
             return
-        if self.cx.now < self._vouched.get(member, LONG_AGO):
+        if self.context.now < self._grants_given.get(member, LONG_AGO):
             return
         # A process that just started may have vouched and forgotten it.
-        if self.cx.now < self.cx.started + self.vouch_s * (1 + DRIFT):
+        if self.context.now < self.context.started + self.grant_s * (1 + CLOCK_DRIFT):
             return
         self._gone[member] = inc
         self._busy = True
-        me = LIVE + self.cx.me
+        me = LIVE + self.context.me
 
         def done(result: str, stamp: Stamp) -> None:
             self._busy = False
@@ -212,23 +214,23 @@
                 self._gone.pop(member, None)
 
         when: list[tuple[str, int]] = [(LIVE + member, ABSENT), (me, self.store.stamp(me))]
-        self.store.commit(when, [(me, self._value(), self.grant)], done, Store.URGENT)
+        self.store.commit(when, [(me, self._value(), self.lease)], done, Store.URGENT)
 
     # --- vouching ------------------------------------------------------------------------
 
-    def _ask_vouch(self) -> None:
-        now = self.cx.now
+    def _request_grants(self) -> None:
+        now = self.context.now
         if now < self._asked + 0.4:
             return
         self._asked = now
         self._ask += 1
         self._asked_at[self._ask] = now
         self._asked_at.pop(self._ask - 20, None)
-        self.cx.out.append(Say(None, GrantRequest(self.inc, self._ask, self.store.applied)))
+        self.context.emit(SendToPeer(None, GrantRequest(self.inc, self._ask, self.store.applied)))
 
-    def asked(self, member: Member, message: GrantRequest) -> None:
+    def handle_grant_request(self, member: Member, message: GrantRequest) -> None:
         """A peer without contact asks whether this node has none either."""
-        now = self.cx.now
+        now = self.context.now
         inc = message.inc
         # One failure amid successes is no outage: such a node must not keep another going.
         recently = self.store.last_contact > now - 1.0
@@ -241,29 +243,29 @@
             and self.store.failing
             and self.store.failed_at > now - FAILED_LATELY_S
             and not recently
-            and inc not in self._never_vouch
+            and inc not in self._never_grant
             and self.live_inc(member) == inc
-            and now > self.cx.started + self.vouch_s * (1 + DRIFT)
+            and now > self.context.started + self.grant_s * (1 + CLOCK_DRIFT)
         )
         if ok:
-            self._vouched[member] = Instant(now + self.vouch_s * (1 + DRIFT))
-        self.cx.out.append(
-            Say(
+            self._grants_given[member] = Instant(now + self.grant_s * (1 + CLOCK_DRIFT))
+        self.context.emit(
+            SendToPeer(
                 member,
                 GrantResponse(inc, message.number, ok, recently, news[:MOST_NEWS]),
             )
         )
 
-    def answered(self, member: Member, message: GrantResponse) -> None:
+    def handle_grant_response(self, member: Member, message: GrantResponse) -> None:
         sent = self._asked_at.get(message.number)
         if sent is None or message.inc != self.inc:
             return
         self._on_cancelled(message.cancelled)
         if message.ok:
-            until = Instant(sent + self.vouch_s * (1 - DRIFT))
-            self._votes[member] = max(until, self._votes.get(member, until))
+            until = Instant(sent + self.grant_s * (1 - CLOCK_DRIFT))
+            self._grants_held[member] = max(until, self._grants_held.get(member, until))
         else:
-            self._votes.pop(member, None)
+            self._grants_held.pop(member, None)
             # Any peer with contact ends it: the store is there, and it isn't for this node.
-            if message.contact and self.cx.now >= self.until:
+            if message.contact and self.context.now >= self.until:
                 self._refuted = True
--- a/runcourse/core/balance.py
+++ b/runcourse/core/balance.py
@@ -4,13 +4,13 @@
 
 from ..wire.peer_messages import TransferMachine, VacateMachine, YieldMachines
 from .context import Context
+from .demand import Demand, LoadReport, serves
 from .ids import Instant, MachineId, ShareNo
 from .machine import Record
 from .machines import Fleet
-from .needs import Load, Need, serves
 from .placement import fits_times
 from .shares import Shares
-from .yielding import Yielding
+from .transfers import MachineTransfers
 
 VACATE_AFTER_S = 2.0  # work that cheap machines can't take waits so long for an empty one
 BALANCE_EVERY_S = 2.0
@@ -20,23 +20,23 @@
 class Balance:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         shares: Shares,
         fleet: Fleet,
-        loads: dict[ShareNo, Load],
-        yielding: Yielding,
+        loads: dict[ShareNo, LoadReport],
+        transfers: MachineTransfers,
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.shares = shares
         self.fleet = fleet
         self.loads = loads
-        self.yielding = yielding
-        self._vacate_at = cx.now
-        self._balance_at = cx.now
+        self.transfers = transfers
+        self._vacate_at = context.now
+        self._balance_at = context.now
 
     def move_idle(
         self,
-        unmet: dict[ShareNo, list[Need]],
+        unmet: dict[ShareNo, list[Demand]],
         idle: dict[ShareNo, list[tuple[float, MachineId, Record]]],
     ) -> None:
         """Empty machines go towards shares with waiting tasks."""
@@ -59,11 +59,11 @@
                         if n and serves(need, record.type, record.zone, record.spot):
                             need.count -= n
                             idle[other].remove(entry)
-                            self.yielding.ask_owner(other, TransferMachine(id, share))
+                            self.transfers.ask_owner(other, TransferMachine(id, share))
 
     def _one_zone(
         self,
-        need: Need,
+        need: Demand,
         others: list[ShareNo],
         idle: dict[ShareNo, list[tuple[float, MachineId, Record]]],
     ) -> bool:
@@ -81,11 +81,11 @@
         need.count = need.lacks.get(need.zone, need.hire)
         return True
 
-    def vacate_for(self, unmet: dict[ShareNo, list[Need]]) -> None:
+    def vacate_for(self, unmet: dict[ShareNo, list[Demand]]) -> None:
         """Lesser work elsewhere makes way for what cheap machines can't take: within a share
         the scheduler stops it, but what is busy in another share never falls empty by itself
         while arrays wait there."""
-        now = self.cx.now
+        now = self.context.now
         if now < self._vacate_at:
             return
         waiting = sorted(
@@ -110,11 +110,11 @@
             )
             if others:
                 self._vacate_at = Instant(now + 1.0)
-                other = self.cx.rng.choice(others)
-                self.yielding.ask_owner(other, VacateMachine(other, share, need.entry))
+                other = self.context.rng.choice(others)
+                self.transfers.ask_owner(other, VacateMachine(other, share, need.entry))
                 return
 
-    def _one_machine(self, need: Need) -> bool:
+    def _one_machine(self, need: Demand) -> bool:
         """Would one machine, emptied, be of use?"""
         return not need.block or any(
             fits_times(need.size, t.size) >= need.asked for t in self.fleet.types.values()
@@ -124,11 +124,11 @@
         """Shares are sized by what waits and runs. While all of them are short no machine falls
         empty by itself, so the share that has most for what it asks yields some to the one that
         has least."""
-        now = self.cx.now
+        now = self.context.now
         if now < self._balance_at:
             return
         asked = {
-            s: load.used + sum(n.size.cpus * n.asked for n in load.needs)
+            s: load.used + sum(n.size.cpus * n.asked for n in load.demands)
             for s, load in self.loads.items()
             if now - load.at < 5.0
         }
@@ -142,11 +142,11 @@
         if asked[to] * cpus[share] < UNEVEN * asked[share] * cpus[to]:
             return
         need = max(
-            (n for n in self.loads[to].needs if n.asked > 0),
+            (n for n in self.loads[to].demands if n.asked > 0),
             key=lambda n: n.size.cpus * n.asked,
             default=None,
         )
         # Half of it: what is asked for changes while machines fall empty.
         half = min(lacks[to], -lacks[share]) / 2
         if need is not None:
-            self.yielding.ask_owner(share, YieldMachines(share, to, half, need.entry))
+            self.transfers.ask_owner(share, YieldMachines(share, to, half, need.entry))
--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -10,8 +10,8 @@
 
 
 class Budget:
-    def __init__(self, cx: Context) -> None:
-        self.cx = cx
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self._weighed = 0
 
     def begin(self) -> None:
@@ -23,9 +23,9 @@
     def sample(self, machines: list[Machine], least: int = 0) -> list[Machine]:
         """All machines while a turn's budget lasts; then, as more is asked than a turn can
         weigh, a random sample."""
-        most = max(self.cx.operators.sample, least)
-        if self._weighed >= self.cx.operators.turn_budget and len(machines) > most:
-            machines = self.cx.rng.sample(machines, most)
+        most = max(self.context.operators.sample, least)
+        if self._weighed >= self.context.operators.turn_budget and len(machines) > most:
+            machines = self.context.rng.sample(machines, most)
         self._weighed += len(machines)
         return machines
 
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -24,7 +24,7 @@
 from .jobs import Job, Jobs
 from .shares import Shares
 from .store import Store
-from .types import Say
+from .types import SendToPeer
 
 ANSWER_WITHIN_S = 0.4  # without evidence by then the user is told when to come back
 ASK_AGAIN_S = 0.1
@@ -47,21 +47,21 @@
 
 class Confirmations:
     def __init__(
-        self, cx: Context, store: Store, authority: Authority, shares: Shares, jobs: Jobs
+        self, context: Context, store: Store, authority: Authority, shares: Shares, jobs: Jobs
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.authority = authority
         self.shares = shares
         self.jobs = jobs
         self._confirmed: set[JobId] = set()
-        self._knowing: dict[JobId, set[Member]] = {}
+        self._acknowledged_by: dict[JobId, set[Member]] = {}
         self._inquiries: dict[JobId, _Inquiry] = {}
         self._heard: dict[Member, Instant] = {}
         self._applied: dict[Member, Stamp] = {}  # up to where peers have read, as they said
         # The former version doesn't say what it knows, but its vouch does: by question asked.
-        self._vouch_asked: dict[int, JobId] = {}
-        self._number = cx.rng.getrandbits(48)
+        self._grant_requests: dict[int, JobId] = {}
+        self._number = context.rng.getrandbits(48)
 
     @property
     def waiting(self) -> int:
@@ -71,7 +71,7 @@
     @property
     def quorum(self) -> int:
         """So many nodes that know meet every majority that vouches for an owner not among them."""
-        return len(self.cx.members) - self.cx.majority + 1
+        return len(self.context.members) - self.context.majority + 1
 
     def confirm(self, job: Job, then: Waiter) -> None:
         """Calls `then` with True once the cancellation may be told, with False if there is no
@@ -84,7 +84,7 @@
             if not self._hopeful(job):
                 then(False)
                 return
-            inquiry = self._inquiries[job.uid] = _Inquiry(later(self.cx.now, ANSWER_WITHIN_S))
+            inquiry = self._inquiries[job.uid] = _Inquiry(later(self.context.now, ANSWER_WITHIN_S))
         inquiry.waiters.append(then)
         self._ask(job, inquiry)
 
@@ -93,33 +93,33 @@
         if uid in self._confirmed:
             return True
         knowing = {m for m, applied in self._applied.items() if ABSENT < job.cancelled <= applied}
-        knowing |= self._knowing.get(uid, set())
+        knowing |= self._acknowledged_by.get(uid, set())
         owns = self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
         if not owns and 1 + len(knowing) < self.quorum:
             return False
         self._confirmed.add(uid)
-        self._knowing.pop(uid, None)
+        self._acknowledged_by.pop(uid, None)
         return True
 
     def _hopeful(self, job: Job) -> bool:
         """Are there peers left whose word would do?"""
-        near = [m for m, at in self._heard.items() if self.cx.now - at < HEARD_S]
+        near = [m for m, at in self._heard.items() if self.context.now - at < HEARD_S]
         owner = self.shares.living_owner(self.shares.of_team(Team(job.spec.team)))
         return owner in near or 1 + len(near) >= self.quorum
 
     def _ask(self, job: Job, inquiry: _Inquiry) -> None:
-        now = self.cx.now
+        now = self.context.now
         if now < inquiry.asked + ASK_AGAIN_S:
             return
         inquiry.asked = now
-        self.cx.out.append(Say(None, CancellationNotice(job.uid, ask=True)))
-        for member in self.cx.members:
-            if member == self.cx.me or member in self._applied or job.cancelled == ABSENT:
+        self.context.emit(SendToPeer(None, CancellationNotice(job.uid, ask=True)))
+        for member in self.context.members:
+            if member == self.context.me or member in self._applied or job.cancelled == ABSENT:
                 continue
             self._number += 1
-            self._vouch_asked[self._number] = job.uid
-            self.cx.out.append(
-                Say(
+            self._grant_requests[self._number] = job.uid
+            self.context.emit(
+                SendToPeer(
                     member,
                     GrantRequest(self.authority.inc, self._number, Stamp(job.cancelled - 1)),
                 )
@@ -127,37 +127,37 @@
 
     # --- what peers say ------------------------------------------------------------------
 
-    def heard(self, member: Member, applied: int | None) -> None:
+    def record_heartbeat(self, member: Member, applied: int | None) -> None:
         """A peer's greeting; the former version's does not say how far it has read."""
-        self._heard[member] = self.cx.now
+        self._heard[member] = self.context.now
         if applied is None:
             self._applied.pop(member, None)
         else:
             self._applied[member] = Stamp(applied)
 
-    def knowledge(self, uid: JobId) -> CancellationAck:
+    def acknowledgement(self, uid: JobId) -> CancellationAck:
         """This node's word that it knows of the cancellation, and whether as its job's owner."""
         job = self.jobs.get(uid)
         owns = job is not None and self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
         return CancellationAck(uid, owns)
 
-    def told(self, member: Member, uid: JobId, owner: bool) -> None:
+    def record_ack(self, member: Member, uid: JobId, owner: bool) -> None:
         if uid in self._confirmed:
             return
         if owner:
             self._confirmed.add(uid)
-            self._knowing.pop(uid, None)
+            self._acknowledged_by.pop(uid, None)
         else:
-            while len(self._knowing) >= MOST_REMEMBERED:
-                del self._knowing[next(iter(self._knowing))]
-            self._knowing.setdefault(uid, set()).add(member)
+            while len(self._acknowledged_by) >= MOST_REMEMBERED:
+                del self._acknowledged_by[next(iter(self._acknowledged_by))]
+            self._acknowledged_by.setdefault(uid, set()).add(member)
         self._look(uid)
 
-    def vouched(self, member: Member, number: int, cancelled: list[JobId]) -> None:
+    def record_grant(self, member: Member, number: int, cancelled: list[JobId]) -> None:
         """The former version lists with its vouch what it has read of cancellations."""
-        uid = self._vouch_asked.get(number)
+        uid = self._grant_requests.get(number)
         if uid is not None and uid in cancelled:
-            self.told(member, uid, False)
+            self.record_ack(member, uid, False)
 
     def _look(self, uid: JobId) -> None:
         inquiry, job = self._inquiries.get(uid), self.jobs.get(uid)
@@ -166,8 +166,8 @@
 
     def _end(self, uid: JobId, inquiry: _Inquiry, sure: bool) -> None:
         del self._inquiries[uid]
-        for number in [n for n, asked in self._vouch_asked.items() if asked == uid]:
-            del self._vouch_asked[number]
+        for number in [n for n, asked in self._grant_requests.items() if asked == uid]:
+            del self._grant_requests[number]
         for waiter in inquiry.waiters:
             waiter(sure)
 
@@ -176,7 +176,7 @@
             job = self.jobs.get(uid)
             if job is not None and self.certain(job):
                 self._end(uid, inquiry, True)
-            elif job is None or self.cx.now >= inquiry.until:
+            elif job is None or self.context.now >= inquiry.until:
                 self._end(uid, inquiry, False)
             else:
                 self._ask(job, inquiry)
--- a/runcourse/core/context.py
+++ b/runcourse/core/context.py
@@ -10,7 +10,7 @@
 from .ids import START, Instant, Member, ShareNo
 from .types import Log
 
-DRIFT = 0.002  # steady clocks differ by at most 0.05 % from each other; taken four times over
+CLOCK_DRIFT = 0.002  # steady clocks differ by at most 0.05 % from each other; taken four times over
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
     rng: random.Random
     now: Instant = START
     started: Instant = START
-    out: list[Any] = field(default_factory=list)
+    effects: list[Any] = field(default_factory=list)
     members: tuple[Member, ...] = ()
     me: Member = field(init=False)
     limits: StateLimits = field(init=False)
@@ -41,7 +41,11 @@
     @property
     def lease_s(self) -> float:
         """How long a worker may go on after the last answer it got, seen from here."""
-        return self.platform.settings.workers.lease_s * (1 + DRIFT) + 0.25
+        return self.platform.settings.workers.lease_s * (1 + CLOCK_DRIFT) + 0.25
+
+    def emit(self, effect: Any) -> None:
+        """Have an effect carried out once the present input is handled."""
+        self.effects.append(effect)
 
     def log(self, level: str, text: str) -> None:
-        self.out.append(Log(level, text))
+        self.emit(Log(level, text))
--- a/runcourse/core/needs.py
+++ b/runcourse/core/demand.py
@@ -27,7 +27,7 @@
     block: str  # the job, if it is a gang bound to one zone
 
 
-class Need:
+class Demand:
     """Waiting tasks of one shape in one share, or those of one gang."""
 
     __slots__ = (
@@ -74,19 +74,19 @@
         return self.entry.types
 
 
-class Load:
+class LoadReport:
     """What an owner tells of a share."""
 
-    __slots__ = ("at", "machines", "needs", "used")
+    __slots__ = ("at", "demands", "machines", "used")
 
     def __init__(self, message: ShareLoad, at: Instant) -> None:
         self.at = at
-        self.needs = [Need(entry) for entry in message.needs]
+        self.demands = [Demand(entry) for entry in message.needs]
         self.used = message.used
         self.machines = message.machines
 
 
-def serves(need: Need, type_: str, zone: str, spot: bool) -> bool:
+def serves(need: Demand, type_: str, zone: str, spot: bool) -> bool:
     return (
         (need.types is None or type_ in need.types)
         and (need.zone is None or zone == need.zone)
@@ -95,14 +95,14 @@
     )
 
 
-def heard_ago(cx: Context, machine: Machine) -> float:
+def heard_ago(context: Context, machine: Machine) -> float:
     """Seconds since it was heard; -1 for a new machine that was never heard. One that an
     earlier owner knew is not new: it counts from the takeover."""
     if machine.heard >= 0:
-        return cx.now - machine.heard
+        return context.now - machine.heard
     if machine.record.stamp > machine.share.epoch:
         return -1.0
-    return cx.now - machine.share.since
+    return context.now - machine.share.since
 
 
 def _room(share: ShareNo, fleet: Fleet, size: Size, spot: bool) -> dict[str, int]:
@@ -115,23 +115,25 @@
     return room
 
 
-def load_of(cx: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler) -> ShareLoad:
+def share_load(context: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler) -> ShareLoad:
     """What the owner of a share tells of it."""
     return ShareLoad(
         share,
         sum(m.used.cpus for m in fleet.of_share(share)),
-        {str(m.id): _machine_load(cx, m) for m in fleet.of_share(share)},
-        _entries(cx, share, fleet, scheduler),
+        {str(m.id): _machine_load(context, m) for m in fleet.of_share(share)},
+        _entries(context, share, fleet, scheduler),
     )
 
 
-def _machine_load(cx: Context, machine: Machine) -> MachineLoad:
+def _machine_load(context: Context, machine: Machine) -> MachineLoad:
     empty = not machine.busy and machine.empty_since is not None
-    idle = cx.now - machine.empty_since if empty and machine.empty_since is not None else -1.0
-    return MachineLoad(round(heard_ago(cx, machine), 2), round(idle, 2), machine.used.cpus)
+    idle = context.now - machine.empty_since if empty and machine.empty_since is not None else -1.0
+    return MachineLoad(round(heard_ago(context, machine), 2), round(idle, 2), machine.used.cpus)
 
 
-def _entries(cx: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler) -> list[DemandEntry]:
+def _entries(
+    context: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler
+) -> list[DemandEntry]:
     """What waits, with the jobs of one shape taken together."""
     found: dict[_Shape, list[int]] = {}
     ages: dict[_Shape, float] = {}
@@ -143,7 +145,7 @@
         counts = found.setdefault(shape, [0, 0])
         counts[0] += count
         counts[1] += scheduler.needed(job, count)
-        ages[shape] = max(ages.get(shape, 0.0), cx.now - job.submitted)
+        ages[shape] = max(ages.get(shape, 0.0), context.now - job.submitted)
     return [
         DemandEntry(
             size=(shape.size.cpus, shape.size.memory, shape.size.gpus),
--- a/runcourse/core/moves.py
+++ b/runcourse/core/draining.py
@@ -17,18 +17,23 @@
 SETTLED_S = 35.0  # a replica that started lately is not moved
 
 
-class Moves:
+class Draining:
     def __init__(
-        self, cx: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work], gangs: Gangs
+        self,
+        context: Context,
+        shares: Shares,
+        fleet: Fleet,
+        work: Mapping[JobId, Work],
+        gangs: Gangs,
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.shares = shares
         self.fleet = fleet
         self.work = work
         self.gangs = gangs
         self._draining: list[Machine] = []
 
-    def _moves_to(self, placement: Placement, target: Machine) -> bool:
+    def _may_move_to(self, placement: Placement, target: Machine) -> bool:
         """Would the zones still be as the job asks, with this task there instead?"""
         work = self.work.get(placement.task.job)
         here = placement.machine.record.zone
@@ -43,7 +48,7 @@
         lasting = [m for m in self.fleet.of_share(share) if self.fleet.usable(m) and m.lasting > 0]
         lasting.sort(key=lambda m: (m.lasting, m.id))
         for machine in lasting[: min(number, len(lasting) - 1)]:
-            machine.draining_until = Instant(self.cx.now + DRAIN_S)
+            machine.draining_until = Instant(self.context.now + DRAIN_S)
             self._draining.append(machine)
 
     def vacate(
@@ -51,7 +56,7 @@
     ) -> Machine | None:
         """Stop all that runs on one machine, if all of it ranks lower; least work lost first.
         Nothing new goes there until it has changed its share."""
-        now = self.cx.now
+        now = self.context.now
         best: tuple[float, str, Machine] | None = None
         for machine in self.fleet.of_share(share):
             active = [p for p in machine.placements.values() if p.active]
@@ -77,7 +82,7 @@
     def soon_empty(self, share: ShareNo, serves: Callable[[Machine], bool]) -> list[Machine]:
         """Machines without replicas, those first that fall empty soonest as it seems, and idle
         for the least until then."""
-        now = self.cx.now
+        now = self.context.now
         found: list[tuple[float, str, Machine]] = []
         for machine in self.fleet.of_share(share):
             if machine.lasting > 0 or not self.fleet.usable(machine) or not serves(machine):
@@ -93,7 +98,7 @@
     def _move_away(self, machine: Machine) -> None:
         """Move the replicas if the others have room and hold their images: then a move takes
         a moment only, and the empty machine can be returned."""
-        now = self.cx.now
+        now = self.context.now
         placements = list(machine.placements.values())
         if not all(
             p.job is not None
@@ -118,7 +123,7 @@
                     for m in machines
                     if placement.job.spec.image in m.images
                     and permits(placement.job, m)
-                    and self._moves_to(placement, m)
+                    and self._may_move_to(placement, m)
                     and placement.size.fits(rooms[m.id])
                 ),
                 None,
@@ -126,7 +131,7 @@
             if target is None:
                 return
             rooms[target.id] = rooms[target.id].minus(placement.size)
-        self.cx.log("info", f"machine {machine.id}: {len(placements)} replicas move away")
+        self.context.log("info", f"machine {machine.id}: {len(placements)} replicas move away")
         self._draining.remove(machine)
         machine.draining_until = Instant(now + DRAIN_S)
         for placement in placements:
@@ -135,7 +140,7 @@
     def _leave(self, machine: Machine) -> None:
         """A machine under notice: what won't end in time and finds room elsewhere stops now,
         with time to save, rather than when the machine is taken."""
-        now = self.cx.now
+        now = self.context.now
         left = (machine.notice_until or now) - now
         others = [m for m in self.fleet.of_share(machine.share.number) if self.fleet.usable(m)]
         rooms = {m.id: m.room for m in others}
@@ -155,7 +160,7 @@
                     m
                     for m in others
                     if permits(job, m)
-                    and self._moves_to(placement, m)
+                    and self._may_move_to(placement, m)
                     and placement.size.fits(rooms[m.id])
                 ),
                 None,
@@ -173,9 +178,9 @@
         assert placement.job is not None
         spec = placement.job.spec
         if placement.stage == "running":
-            if spec.estimate_s - (self.cx.now - placement.ran_since) < left:
+            if spec.estimate_s - (self.context.now - placement.ran_since) < left:
                 return
-            needs = spec.save_s + self.cx.platform.settings.workers.gang_peer_s + 1.0
+            needs = spec.save_s + self.context.platform.settings.workers.gang_peer_s + 1.0
             if spec.checkpoint_s > 0 and left > needs:
                 return
         self.gangs.stop(placement)
@@ -186,7 +191,7 @@
                 self._leave(machine)
         for machine in list(self._draining):
             if (
-                self.cx.now >= machine.draining_until
+                self.context.now >= machine.draining_until
                 or self.fleet.machines.get(machine.id) is not machine
             ):
                 self._draining.remove(machine)
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -21,15 +21,15 @@
 
 
 class Failures:
-    def __init__(self, cx: Context, fleet: Fleet, changed: Callable[[], None]) -> None:
-        self.cx = cx
+    def __init__(self, context: Context, fleet: Fleet, changed: Callable[[], None]) -> None:
+        self.context = context
         self.fleet = fleet
         self._changed = changed
 
     def failed(self, work: Work, placement: Placement) -> None:
         """A machine on which tasks of several jobs fail is set aside; a job that fails on
         several machines, and does well on none, is mistaken, and no machine's fault."""
-        now = self.cx.now
+        now = self.context.now
         machine, uid = placement.machine, work.job.uid
         work.errors[machine.id] = work.errors.get(machine.id, 0) + 1
         work.fails_after = max(work.fails_after, now - (placement.ran_since or placement.since))
@@ -46,7 +46,7 @@
         recent = [uid for uid, at in machine.errors.items() if now - at < FAULTY_S]
         if len(recent) >= FAULTY_AT or again:
             machine.quarantined_until = Instant(now + FAULTY_S)
-            self.cx.log(
+            self.context.log(
                 "warning", f"machine {machine.id}: tasks of {len(recent)} jobs failed, set aside"
             )
         elif len(work.errors) == 1:  # on a second machine it is rather the job's own mistake
@@ -61,7 +61,8 @@
             return True
         machines = self.fleet.machines
         well = sum(
-            id in machines and self.cx.now - machines[id].did_well < FAULTY_S for id in work.errors
+            id in machines and self.context.now - machines[id].did_well < FAULTY_S
+            for id in work.errors
         )
         return well >= 2 or (
             sum(work.errors.values()) >= MISTAKEN_TRIES and (len(work.errors) >= 2 or well >= 1)
@@ -74,16 +75,16 @@
         """Has a task of the job run for longer than those that failed?"""
         enough = 1.5 * work.fails_after + 1.0
         return any(
-            p.stage == "running" and self.cx.now - p.ran_since > enough
+            p.stage == "running" and self.context.now - p.ran_since > enough
             for p in self.fleet.of_job(work.job.uid)
         )
 
     def _found_mistaken(self, work: Work) -> None:
         """With many such jobs about, each machine has run some: none is set aside for them."""
-        now = self.cx.now
+        now = self.context.now
         uid = work.job.uid
         work.mistaken = True
-        self.cx.log(
+        self.context.log(
             "warning",
             f"job {uid}: failed on {len(work.errors)} machines, tried again one task at a time",
         )
@@ -101,13 +102,13 @@
 
     def _put_off(self, work: Work) -> None:
         pause = min(PROBE_MOST_S, PROBE_FIRST_S * 2 ** min(work.probes, 8))
-        work.not_before = Instant(self.cx.now + pause)
+        work.not_before = Instant(self.context.now + pause)
         work.probes += 1
 
     def acquit(self, work: Work) -> None:
         """Something of it goes well, so what failed was chance, or the machines' fault."""
         if work.mistaken:
-            self.cx.log("info", f"job {work.job.uid}: goes well after all")
+            self.context.log("info", f"job {work.job.uid}: goes well after all")
             work.mistaken = False
             work.not_before = LONG_AGO
             self._changed()
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -18,8 +18,8 @@
 
 
 class Finishes:
-    def __init__(self, cx: Context, store: Store, shares: Shares) -> None:
-        self.cx = cx
+    def __init__(self, context: Context, store: Store, shares: Shares) -> None:
+        self.context = context
         self.store = store
         self.shares = shares
         self._unstored: dict[JobId, Work] = {}
@@ -33,7 +33,7 @@
         self._unstored.pop(uid, None)
 
     def flush(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         for work in list(self._unstored.values()):
             if work.flushing or now < work.retry_at:
                 continue
@@ -49,12 +49,12 @@
         job = work.job
         bits = work.finished
         work.flushing = True
-        work.flushed_at = self.cx.now
+        work.flushed_at = self.context.now
         key = JOB + job.uid
         when = [self.shares.guard(work.share), (key, int(job.stamp))]
         then: list[tuple[str, Any, int | None]] = []
         if complete:  # says of every task that it is done: no page need say it too
-            then.append((key, final_value(job.spec, "done", self.cx.limits.value_bytes), None))
+            then.append((key, final_value(job.spec, "done", self.context.limits.value_bytes), None))
         else:
             bits = self._pages(job, bits, when, then)
 
@@ -66,9 +66,9 @@
                     del self._unstored[job.uid]
             elif result == "rejected":
                 self._small = True
-                work.retry_at = Instant(self.cx.now + RETRY_REJECTED_S)
+                work.retry_at = Instant(self.context.now + RETRY_REJECTED_S)
             else:
-                work.retry_at = Instant(self.cx.now + RETRY_STORE_S)
+                work.retry_at = Instant(self.context.now + RETRY_STORE_S)
 
         self.store.commit(when, then, done)
 
@@ -99,7 +99,7 @@
                     if part:
                         pieces.append((f"{PART}{job.uid}/{k}", job.page(k, part, PART_BITS), part))
             for page, value, part in pieces:
-                if len(then) >= self.cx.limits.txn_ops:
+                if len(then) >= self.context.limits.txn_ops:
                     return stored
                 # A change without an answer may be carried out after newer ones, and would
                 # take back what they stored: the page's version makes it fail.
@@ -112,7 +112,7 @@
         """The former version reads no parts, and would start anew what they say is done: while it
         may be there, pages are as large as the state service takes."""
         size = json_size(page)
-        if size <= self.cx.limits.value_bytes:
+        if size <= self.context.limits.value_bytes:
             return False
-        most = self.cx.platform.settings.state.value_kb * 1024
+        most = self.context.platform.settings.state.value_kb * 1024
         return self._small or size > most or self.store.get(FORMAT) is not None
--- a/runcourse/core/gang_room.py
+++ b/runcourse/core/gang_placement.py
@@ -41,10 +41,10 @@
     places: list[tuple[int, Machine]]  # task numbers and where they go
 
 
-class GangRoom:
+class GangPlacement:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         shares: Shares,
         fleet: Fleet,
         quota: Quota,
@@ -54,7 +54,7 @@
         score: Score,
         within: Mapping[str, float],
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.shares = shares
         self.fleet = fleet
         self.quota = quota
@@ -76,11 +76,11 @@
         """Start all that is pending of the gang, or nothing; returns how many tasks need room.
         Only the `last` try may stop others."""
         job, n = work.job, len(work.pending)
-        work.waits = self.gangs.look(work)
-        if work.waits or not n:
+        work.wait_reason = self.gangs.look(work)
+        if work.wait_reason or not n:
             return 0
         if not self.quota.allows(job, unlocated.plus(self.gangs.size(work))):
-            work.waits = "team limit"
+            work.wait_reason = "team limit"
             return 0
         fits = [
             m
@@ -92,20 +92,20 @@
         ]
         plan = self._plan(work, fits)
         if plan is None:
-            work.waits = NO_ROOM
+            work.wait_reason = NO_ROOM
             if last:
                 self.preemption.make_room_whole(work, usable, claimed)
             return n
-        holding = self.shares.mine[work.share]
+        holding = self.shares.owned[work.share]
         attempt = work.attempt if any(work.zones.values()) else None
         attempt = holding.next_attempt() if attempt is None else attempt
         for number, machine in plan.places:
             self.fleet.place(job, number, machine, attempt)
-        self.cx.log(
+        self.context.log(
             "debug",
             f"gang {job.uid} placed on"
             f" {len({m.id for _, m in plan.places})} machines,"
-            f" {self.cx.now - job.submitted:.2f} s after its job,"
+            f" {self.context.now - job.submitted:.2f} s after its job,"
             f" images there in {plan.slowest:.1f} s",
         )
         return 0
@@ -174,7 +174,7 @@
             if w.job.spec.gang
             and not w.mistaken
             and w.attempt is None
-            and self.cx.now > w.job.submitted + self._patience(w.job)
+            and self.context.now > w.job.submitted + self._reserve_after_s(w.job)
         ]
         if not aged:
             return {}
@@ -185,9 +185,9 @@
             if not self.quota.allows(work.job, self.gangs.size(work)):
                 continue
             # What does not fall free in that time falls free too seldom to be waited for.
-            if self.cx.now > work.reserved_at + 2 * RESERVED_S:
-                work.reserved_at = self.cx.now
-            elif self.cx.now > work.reserved_at + RESERVED_S:
+            if self.context.now > work.reserved_at + 2 * RESERVED_S:
+                work.reserved_at = self.context.now
+            elif self.context.now > work.reserved_at + RESERVED_S:
                 continue
             found = self._soonest(work, [m for m in machines if m.id not in reserved])
             if found is None:
@@ -198,7 +198,7 @@
             reserved.update((m.id, work.job.uid) for m in found)
         return reserved
 
-    def _patience(self, job: Job) -> float:
+    def _reserve_after_s(self, job: Job) -> float:
         within = self.within.get(job.spec.lane)
         return RESERVE_AFTER_S if within is None else within / 2
 
@@ -229,7 +229,7 @@
 
     def _soon(self, machine: Machine) -> Size:
         """Its room once what ends soon has ended."""
-        now, room = self.cx.now, machine.room
+        now, room = self.context.now, machine.room
         for placement in machine.placements.values():
             job = placement.job
             if not placement.active or job is None or job.spec.service:
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -28,8 +28,8 @@
 
 
 class Gangs:
-    def __init__(self, cx: Context, fleet: Fleet, work: Mapping[JobId, Work]) -> None:
-        self.cx = cx
+    def __init__(self, context: Context, fleet: Fleet, work: Mapping[JobId, Work]) -> None:
+        self.context = context
         self.fleet = fleet
         self.work = work
 
@@ -58,7 +58,7 @@
 
     def gone(self, work: Work, placement: Placement, why: str) -> None:
         """A task of the attempt is over, and the job is not done."""
-        now = self.cx.now
+        now = self.context.now
         if placement.attempt == work.attempt:
             if why in ("mates", "error") or placement.stage_before in ("running", "saving"):
                 work.started = True
@@ -69,7 +69,7 @@
                 pause = min(INCOMPLETE_MOST_S, INCOMPLETE_FIRST_S * 2 ** min(work.incomplete, 8))
                 work.incomplete += 1
                 work.not_before = Instant(now + pause)
-                self.cx.log(
+                self.context.log(
                     "warning",
                     f"gang {work.job.uid}: {self._missing(work)} within"
                     f" {now - placement.since:.1f} s, tried again in"
@@ -138,10 +138,11 @@
             return
         members = self.fleet.of_job(work.job.uid)
         all_told = len(members) == work.job.spec.tasks and all(
-            not m.machine.doubted
+            not m.machine.suspected
             and m.machine.addr
             and not m.machine.do_open
-            and self.fleet.silent_s(m.machine) < 2.5 * self.cx.platform.settings.workers.report_s
+            and self.fleet.silent_s(m.machine)
+            < 2.5 * self.context.platform.settings.workers.report_s
             for m in members
         )
         work.ending = True
@@ -151,7 +152,7 @@
 
     def lost(self, placement: Placement) -> float:
         """What stopping it costs, in seconds of work; of a gang all its tasks' part."""
-        now = self.cx.now
+        now = self.context.now
         if placement.job is None or not placement.job.spec.gang:
             return loss(placement, now)
         return sum(loss(mate, now) for mate in self.fleet.of_job(placement.task.job))
--- a/runcourse/core/inventory.py
+++ b/runcourse/core/inventory.py
@@ -7,13 +7,13 @@
 
 from ..wire.peer_messages import UnknownMachine
 from .context import Context
+from .demand import LoadReport
 from .ids import ABSENT, LONG_AGO, Instant, MachineId, Member, ShareNo, Stamp, Team
 from .machine import Record
 from .machines import Fleet
-from .needs import Load
 from .shares import Shares
 from .store import MACHINE, Store
-from .types import CloudMachine, ListMachines, Outcome, Probe, Release, Report, Say
+from .types import CloudMachine, ListMachines, Outcome, Probe, Release, Report, SendToPeer
 
 MAX_RELEASE = 100
 REMEMBERED = 4  # ids of returned machines kept in the store, by machine of the largest fleet
@@ -28,16 +28,16 @@
 class Inventory:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         store: Store,
         shares: Shares,
         fleet: Fleet,
-        loads: dict[ShareNo, Load],
+        loads: dict[ShareNo, LoadReport],
         leading: Callable[[], bool],
         leader: Callable[[], str | None],
         guard: Callable[[], tuple[str, int]],
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.shares = shares
         self.fleet = fleet
@@ -63,8 +63,8 @@
         self._missing.clear()
 
     def tick(self) -> None:
-        lag = self.cx.platform.settings.cloud.list_lag_s
-        if not self._listing and self.cx.now >= self._list_at + max(lag / 2, 3.0):
+        lag = self.context.platform.settings.cloud.list_lag_s
+        if not self._listing and self.context.now >= self._list_at + max(lag / 2, 3.0):
             self._list()
 
     def adopting(self) -> list[Record]:
@@ -75,7 +75,7 @@
         self._released -= self.fleet.gone
 
     def _list(self) -> None:
-        began = self.cx.now
+        began = self.context.now
         self._listing = True
         self._list_at = began
 
@@ -84,10 +84,10 @@
             if outcome.status == 200 and self.leading():
                 self._listed(outcome.body, began)
 
-        self.cx.out.append(ListMachines(done))
+        self.context.emit(ListMachines(done))
 
     def _listed(self, machines: tuple[CloudMachine, ...], began: Instant) -> None:
-        lag = self.cx.platform.settings.cloud.list_lag_s
+        lag = self.context.platform.settings.cloud.list_lag_s
         present: set[MachineId] = set()
         found: list[tuple[MachineId, str, str, bool, ShareNo | None]] = []
         failed: list[MachineId] = []
@@ -120,7 +120,7 @@
                 del self._first_listed[id]
                 del self._missing[id]
                 if id in self.fleet.records:
-                    self.cx.log("info", f"machine {id} is gone from the cloud")
+                    self.context.log("info", f"machine {id} is gone from the cloud")
                     gone.append(id)
         self._drop_records(gone)
 
@@ -142,7 +142,7 @@
             return
         ids = [id for id in ids if id in self.fleet.records]
         self._released.update(ids)
-        size = max(1, self.cx.limits.txn_ops)
+        size = max(1, self.context.limits.txn_ops)
         for n in range(0, len(ids), size):
             self._drop_batch(ids[n : n + size])
         surplus = len(self.fleet.gone) - REMEMBERED * max(self.largest, 250)
@@ -180,9 +180,9 @@
             self._check_unknown(report.machine, report.addr, report.type, report.zone, report.spot)
         else:
             leader = self.leader()
-            if leader and leader != self.cx.me:
-                self.cx.out.append(
-                    Say(
+            if leader and leader != self.context.me:
+                self.context.emit(
+                    SendToPeer(
                         Member(leader),
                         UnknownMachine(
                             report.machine, report.addr, report.type, report.zone, report.spot
@@ -190,7 +190,7 @@
                     )
                 )
 
-    def told_unknown(self, message: UnknownMachine) -> None:
+    def handle_unknown_machine(self, message: UnknownMachine) -> None:
         if self.leading():
             self._check_unknown(message.id, message.addr, message.type, message.zone, message.spot)
 
@@ -210,7 +210,7 @@
                 if isinstance(live, Report) and live.machine == id and self.leading():
                     self.adopt([(id, live.type, live.zone, live.spot, None)])
 
-            self.cx.out.append(Probe(done, addr))
+            self.context.emit(Probe(done, addr))
 
     def adopt(self, found: list[tuple[MachineId, str, str, bool, ShareNo | None]]) -> None:
         """Record machines, for the share named or the one that has least; as many at once as
@@ -233,7 +233,7 @@
                 counts[1][share, type_] = counts[1].get((share, type_), 0) + 1
             self._adopting[id] = Record(share, type_, zone, spot, False, ABSENT)
             batch.append(id)
-        size = max(1, self.cx.limits.txn_ops)
+        size = max(1, self.context.limits.txn_ops)
         for n in range(0, len(batch), size):
             self._record(batch[n : n + size])
 
@@ -268,11 +268,11 @@
         and before there are any, as its teams are many."""
         teams = sum(
             1
-            for team in self.cx.platform.settings.teams
+            for team in self.context.platform.settings.teams
             if self.shares.of_team(Team(team.name)) == share
         )
         load = self.loads.get(share)
-        waiting = sum(n.size.cpus * n.count for n in load.needs) if load else 0.0
+        waiting = sum(n.size.cpus * n.count for n in load.demands) if load else 0.0
         return max(teams, 0.5) + (load.used if load else 0.0) + waiting
 
     def counts(self) -> tuple[dict[ShareNo, float], dict[tuple[ShareNo, str], int]]:
@@ -316,4 +316,4 @@
                 # They and everything on them are gone: the records may go too.
                 self._drop_records(ids)
 
-        self.cx.out.append(Release(done, ids))
+        self.context.emit(Release(done, ids))
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -115,8 +115,6 @@
         "did_well",
         "do_after",
         "do_open",
-        "doubt",
-        "doubted_at",
         "draining_until",
         "empty_since",
         "errors",
@@ -142,6 +140,8 @@
         "session",
         "settled",
         "share",
+        "suspect_token",
+        "suspected_at",
         "token_seen",
         "type",
         "up_since",
@@ -182,8 +182,8 @@
         # Reachable is more than heard: only a token of ours shown by the worker proves that
         # answers or commands arrive there. Until it shows this one, nothing new goes there,
         # and an order of unknown fate may yet be carried out.
-        self.doubt = self.base_token
-        self.doubted_at = now
+        self.suspect_token = self.base_token
+        self.suspected_at = now
         self.full_until = now
         self.quarantined_until = now
         self.errors: dict[JobId, Instant] = {}  # whose tasks failed here since one did well
@@ -220,14 +220,14 @@
         return Known((self.session, self.seq), self.token_seen)
 
     @property
-    def doubted(self) -> bool:
+    def suspected(self) -> bool:
         """Not shown to be reachable since something spoke against it."""
-        return self.token_seen < self.doubt
+        return self.token_seen < self.suspect_token
 
-    def doubt_reach(self, now: Instant) -> None:
-        if not self.doubted:
-            self.doubted_at = now
-        self.doubt = self.raise_fence()
+    def mark_suspected(self, now: Instant) -> None:
+        if not self.suspected:
+            self.suspected_at = now
+        self.suspect_token = self.raise_fence()
 
     def count_rank(self, placement: Placement, sign: int) -> None:
         if placement.job is not None:
@@ -250,5 +250,5 @@
             bool(self.placements)
             or self.do_open
             or not self.settled
-            or (self.doubted and self.heard >= 0)
+            or (self.suspected and self.heard >= 0)
         )
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -35,19 +35,19 @@
 from .store import CATALOG, MACHINE, TYPES, Store
 from .types import Command, MachineType, Order, Outcome, Probe, Report, TaskReport
 
-REPORT_PATIENCE_S = 4.0  # how long a worker waits for the answer to a report
+REPORT_TIMEOUT_S = 4.0  # how long a worker waits for the answer to a report
 LOOK_EVERY_S = 0.2
 MOST_LISTED = 400  # tasks, ended ones too: a report must stay far below the protocol's 64 KiB
 GAP_PER_TASK_S = 0.004  # between two commands to a machine, for each task that it lists
 RETRY_AFTER_S = 1.0  # and then until it tries the next node
 
 
-class Watcher(Protocol):
+class PlacementObserver(Protocol):
     """Who hears of changes to the ledger."""
 
     def placed(self, placement: Placement) -> None: ...
 
-    def lifted(self, placement: Placement) -> None: ...
+    def unplaced(self, placement: Placement) -> None: ...
 
     def stopped(self, placement: Placement) -> None: ...
 
@@ -60,13 +60,18 @@
 
 class Fleet:
     def __init__(
-        self, cx: Context, store: Store, shares: Shares, jobs: Jobs, watcher: Watcher
+        self,
+        context: Context,
+        store: Store,
+        shares: Shares,
+        jobs: Jobs,
+        observer: PlacementObserver,
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.shares = shares
         self.jobs = jobs
-        self.watcher = watcher
+        self.observer = observer
         self.records: dict[MachineId, Record] = {}
         self.machines: dict[MachineId, Machine] = {}
         self.types: dict[str, MachineType] = {}
@@ -80,10 +85,10 @@
         self._resting: dict[MachineId, Instant] = {}  # the same, but not before
         # Commands and questions to workers are bounded by the sockets there are for them;
         # machines that may not answer take no more than half, so that others never wait for them.
-        sockets = cx.platform.settings.quota.sockets(len(cx.members))
+        sockets = context.platform.settings.quota.sockets(len(context.members))
         self._most_open = sockets.commands
         self._open = 0
-        self._open_doubted = 0
+        self._open_suspected = 0
         self._looked_at = LONG_AGO
         self._given: dict[MachineId, tuple[Instant, TransferredState]] = {}
         store.listen(MACHINE, self._record_changed)
@@ -99,7 +104,7 @@
         self.types = {t[0]: msgspec.convert(t, MachineType) for t in rows}
         for machine in self.machines.values():
             machine.set_type(self.types.get(machine.record.type))
-        self.watcher.changed()
+        self.observer.changed()
 
     def _record_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         id = MachineId(key[len(MACHINE) :])
@@ -123,7 +128,7 @@
         )
         self.records[id] = record
         machine = self.machines.get(id)
-        holding = self.shares.mine.get(record.share)
+        holding = self.shares.owned.get(record.share)
         if machine is not None and holding is machine.share:
             machine.record = record
         elif machine is not None:
@@ -133,7 +138,7 @@
             self._add(id, record, holding)
 
     def _add(self, id: MachineId, record: Record, holding: Holding) -> None:
-        machine = Machine(id, record, holding, self.cx.now)
+        machine = Machine(id, record, holding, self.context.now)
         machine.set_type(self.types.get(record.type))
         machine.addr = self.addrs.get(id, "")
         self.machines[id] = machine
@@ -155,14 +160,14 @@
 
     def given(self, state: TransferredState) -> None:
         """A former owner passes a machine's state on, perhaps before its record is seen."""
-        self._given[state.machine] = (self.cx.now, state)
+        self._given[state.machine] = (self.context.now, state)
         machine = self.machines.get(state.machine)
         if machine is not None:
             self._take_over_state(machine)
 
     def _take_over_state(self, machine: Machine) -> None:
         at, state = self._given.get(machine.id, (LONG_AGO, None))
-        if state is None or self.cx.now - at > 5.0:
+        if state is None or self.context.now - at > 5.0:
             return
         del self._given[machine.id]
         machine.fetches = None
@@ -174,9 +179,9 @@
             machine.session = state.session
             machine.seq = state.seq
             machine.token_seen = state.token
-            machine.heard = machine.up_since = self.cx.now
+            machine.heard = machine.up_since = self.context.now
             self._dirty[machine.id] = None  # an empty command shows that it can be reached
-            self.watcher.changed()
+            self.observer.changed()
 
     def _drop(self, id: MachineId, why: str) -> None:
         machine = self.machines.pop(id, None)
@@ -184,7 +189,7 @@
             del self._of_share[machine.share.number][id]
             for placement in list(machine.placements.values()):
                 self._remove(placement, why)
-            self.watcher.changed()
+            self.observer.changed()
 
     def gain(self, holding: Holding) -> None:
         for id, record in self.records.items():
@@ -202,7 +207,7 @@
 
     def place(self, job: Job, index: int, machine: Machine, attempt: Attempt) -> Placement:
         task = TaskId(job.uid, index)
-        placement = Placement(task, attempt, machine, job, self.cx.now)
+        placement = Placement(task, attempt, machine, job, self.context.now)
         self._insert(placement)
         self._dirty[machine.id] = None
         return placement
@@ -223,7 +228,7 @@
         if placement.job is not None and placement.job.spec.service:
             placement.machine.lasting += placement.size.cpus
         self.where.setdefault(placement.task, []).append(placement)
-        self.watcher.placed(placement)
+        self.observer.placed(placement)
 
     def _deactivate(self, placement: Placement, stage: str) -> None:
         placement.machine.use(placement.machine.used.minus(placement.size))
@@ -241,7 +246,7 @@
         others.remove(placement)
         if not others:
             del self.where[placement.task]
-        self.watcher.lifted(placement)
+        self.observer.unplaced(placement)
 
     def _count_running(self, job: JobId, by: int) -> None:
         self._running[job] = self._running.get(job, 0) + by
@@ -259,9 +264,9 @@
             machine.use(NOTHING)  # no rounding left over
             machine.ranks.clear()
             machine.lasting = 0.0
-            machine.empty_since = self.cx.now
+            machine.empty_since = self.context.now
         if active:
-            self.watcher.gone(placement, why)
+            self.observer.gone(placement, why)
 
     def stop(self, placement: Placement, grace_s: float = 0.0) -> None:
         if not placement.active or (placement.stopping and grace_s >= placement.grace_s):
@@ -271,7 +276,7 @@
             placement.machine.count_rank(placement, -1)
             placement.stopping = True
             placement.machine.count_rank(placement, 1)
-            self.watcher.stopped(placement)
+            self.observer.stopped(placement)
         placement.grace_s = grace_s
         if not placement.seen and not placement.fence:
             # An order to start it may be under way, and a stop before it has no effect:
@@ -281,7 +286,7 @@
 
     # --- what workers say ----------------------------------------------------------------
 
-    def hear(self, report: Report, since: Known | None = None) -> bool:
+    def apply_report(self, report: Report, since: Known | None = None) -> bool:
         """Take a message of a machine owned here. False: it is not believed.
 
         `since` is given for an answer to a question or command of ours, which is live: what
@@ -311,7 +316,7 @@
                 self.ask(machine)
             return False
         usable = self.usable(machine)
-        now = self.cx.now
+        now = self.context.now
         if report.session > machine.session or machine.heard < 0:
             # A session's lease counts from its beginning, whatever was answered before; tasks
             # may be started in it by commands before any report of it is answered.
@@ -321,14 +326,14 @@
                 for placement in list(machine.placements.values()):
                     self._remove(placement, "session")
                 # Its lease ran out, so answers may not reach it.
-                machine.doubt_reach(now)
+                machine.mark_suspected(now)
                 self._dirty[machine.id] = None
             machine.images.clear()
             machine.fetches = None
             machine.up_since = now
         if machine.heard < 0:
             machine.up_since = now
-            machine.doubted_at = now
+            machine.suspected_at = now
             self._dirty[machine.id] = None  # an empty command shows that it can be reached
         if since is None:
             self._check_orders(machine, report)
@@ -336,15 +341,15 @@
         machine.addr = report.addr or machine.addr
         machine.session, machine.seq = report.session, report.seq
         machine.heard = now
-        doubted = machine.doubted
+        suspected = machine.suspected
         machine.token_seen = max(machine.token_seen, report.token)
-        if not machine.doubted and (doubted or since is not None):
+        if not machine.suspected and (suspected or since is not None):
             machine.reached = now
         if report.notice_s is not None:
             if machine.notice_until is None:
-                self.cx.log("info", f"machine {machine.id}: notice, {report.notice_s:.1f} s")
-                self.watcher.changed()
-            machine.notice_until = Instant(self.cx.now + max(report.notice_s, 0.0))
+                self.context.log("info", f"machine {machine.id}: notice, {report.notice_s:.1f} s")
+                self.observer.changed()
+            machine.notice_until = Instant(self.context.now + max(report.notice_s, 0.0))
         else:
             machine.notice_until = None
         listed = set()
@@ -356,13 +361,13 @@
                 continue
             if placement.seen or (placement.fence and report.token >= placement.fence):
                 self._remove(placement, "absent")
-                self.watcher.changed()
+                self.observer.changed()
         if not machine.settled and report.token >= machine.base_token:
             machine.settled = True
-            self.watcher.changed()
+            self.observer.changed()
         if not usable and self.usable(machine):
             # A machine that came up or back is new room, though nothing on it changed.
-            self.watcher.changed()
+            self.observer.changed()
         return True
 
     def overtaken(self, report: Report) -> bool:
@@ -373,7 +378,7 @@
         if (
             machine is None
             or report.session != machine.session
-            or machine.doubted
+            or machine.suspected
             or not machine.report_number < number <= (machine.session, machine.seq)
         ):
             return False
@@ -384,7 +389,7 @@
         """A live answer went back in its numbers: the worker lost its memory, and with it
         every task. Reports of its former life must not be taken for news of this one, so
         only those that show a token raised now are believed."""
-        self.cx.log("warning", f"machine {machine.id}: came back without memory")
+        self.context.log("warning", f"machine {machine.id}: came back without memory")
         for placement in list(machine.placements.values()):
             self._remove(placement, "restart")
         machine.images.clear()
@@ -393,9 +398,9 @@
         machine.report_number = (report.session, -1)
         machine.expired_session = Session(0)
         machine.token_seen = report.token
-        machine.doubt_reach(self.cx.now)
-        machine.doubted_at = machine.up_since = machine.last_answer = self.cx.now
-        machine.born = machine.doubt
+        machine.mark_suspected(self.context.now)
+        machine.suspected_at = machine.up_since = machine.last_answer = self.context.now
+        machine.born = machine.suspect_token
         self._dirty[machine.id] = None
 
     def _check_orders(self, machine: Machine, report: Report) -> None:
@@ -406,38 +411,38 @@
             0 <= p.given < report.seq and not p.seen and key not in listed
             for key, p in machine.placements.items()
         ):
-            self.doubt(machine)
+            self.suspect(machine)
 
-    def doubt(self, machine: Machine, since: Instant | None = None) -> None:
+    def suspect(self, machine: Machine, since: Instant | None = None) -> None:
         """Something speaks against its being reachable `since` then: a raised token will tell,
         by way of a command at once or of the next answers."""
-        if not machine.doubted:
-            machine.doubt_reach(self.cx.now if since is None else since)
+        if not machine.suspected:
+            machine.mark_suspected(self.context.now if since is None else since)
             self._dirty[machine.id] = None
 
-    def beaten(self, machine: Machine, relayed: bool, before: Instant) -> None:
+    def note_route(self, machine: Machine, relayed: bool, before: Instant) -> None:
         """A report came by way of a peer, or after a pause (last heard `before`) in which the
         worker tried others: so an answer may have failed to reach it."""
-        now = self.cx.now
+        now = self.context.now
         pause = max(
-            0.95 * (REPORT_PATIENCE_S + RETRY_AFTER_S),
-            1.25 * self.cx.platform.settings.workers.report_s + 0.75,
+            0.95 * (REPORT_TIMEOUT_S + RETRY_AFTER_S),
+            1.25 * self.context.platform.settings.workers.report_s + 0.75,
         )
         if (
             (relayed or now - before > pause)
             and before >= 0
-            and now - machine.reached > REPORT_PATIENCE_S
+            and now - machine.reached > REPORT_TIMEOUT_S
         ):
-            self.doubt(machine, max(before, machine.reached))
+            self.suspect(machine, max(before, machine.reached))
 
     def ask(self, machine: Machine) -> None:
         """Ask the worker itself: no report is believed over its live answer."""
-        now = self.cx.now
+        now = self.context.now
         if (
             machine.probing
             or not machine.addr
             or now < machine.asked_at + 1.0
-            or 2 * self._open_doubted >= self._most_open
+            or 2 * self._open_suspected >= self._most_open
         ):
             return
         machine.probing = True
@@ -449,35 +454,35 @@
             machine.probing = False
             self._closed(True)
             if self.machines.get(machine.id) is machine and isinstance(outcome.body, Report):
-                self.hear(outcome.body, since)
+                self.apply_report(outcome.body, since)
 
-        self.cx.out.append(Probe(done, machine.addr))
+        self.context.emit(Probe(done, machine.addr))
 
-    def patience(self) -> float:
+    def silence_limit_s(self) -> float:
         """How long a machine may be silent, or heard without being reached: a worker cut off
         from here needs a lost report and a try elsewhere to be heard by way of a peer."""
-        workers = self.cx.platform.settings.workers
+        workers = self.context.platform.settings.workers
         return max(
             2.5 * workers.report_s,
             0.45 * workers.lease_s,
-            min(REPORT_PATIENCE_S + 1.75 + 1.25 * workers.report_s, 0.7 * workers.lease_s),
+            min(REPORT_TIMEOUT_S + 1.75 + 1.25 * workers.report_s, 0.7 * workers.lease_s),
         )
 
     def unreached_s(self, machine: Machine) -> float:
         """For how long has it been heard without showing that it is reached?"""
-        if not machine.doubted or machine.heard < 0:
+        if not machine.suspected or machine.heard < 0:
             return 0.0
-        return self.cx.now - max(machine.doubted_at, machine.share.since)
+        return self.context.now - max(machine.suspected_at, machine.share.since)
 
     def _listed(self, machine: Machine, entry: TaskReport) -> None:
         placement = machine.placements.get((entry.task, entry.attempt))
         job = self.jobs.get(entry.task.job)
         if placement is None:
             # Started by an earlier owner of the share.
-            placement = Placement(entry.task, entry.attempt, machine, job, self.cx.now)
+            placement = Placement(entry.task, entry.attempt, machine, job, self.context.now)
             self._insert(placement)
             if entry.stage == "ended":
-                self.watcher.changed()
+                self.observer.changed()
         if job is not None and placement.job is None:
             # Counted from now on, and with its size.
             if placement.active:
@@ -495,7 +500,7 @@
             if before != "ended":
                 placement.stage_before = before
                 self._deactivate(placement, before)
-                self.watcher.gone(placement, entry.cause)
+                self.observer.gone(placement, entry.cause)
         elif before == "ended":
             self._activate(placement)
         elif (before in RUNNING) != (entry.stage in RUNNING):
@@ -504,8 +509,8 @@
             self._remember_image(machine, job)
             if entry.stage != "waiting":
                 if before != "running":
-                    placement.ran_since = self.cx.now
-                self.watcher.running(placement)
+                    placement.ran_since = self.context.now
+                self.observer.running(placement)
 
     def _remember_image(self, machine: Machine, job: Job) -> None:
         images = machine.images
@@ -529,7 +534,7 @@
                 if (
                     answering
                     and not machine.do_open
-                    and not machine.doubted
+                    and not machine.suspected
                     and self._stored(placement)
                 ):
                     # A copy of a command that was carried out would start it once more, so
@@ -557,20 +562,20 @@
         )
 
     def answered(self, machine: Machine) -> None:
-        machine.last_answer = max(machine.last_answer, self.cx.now)
+        machine.last_answer = max(machine.last_answer, self.context.now)
 
     def pace(self, machine: Machine) -> None:
         """Whether it was told by an answer or a command, the next command waits a moment: each
         is answered with a list of all tasks there, and a machine of a hundred short ones would
         ask for one many times a second. Its next report tells as much."""
         gap = GAP_PER_TASK_S * len(machine.placements)
-        machine.do_after = max(machine.do_after, later(self.cx.now, gap))
+        machine.do_after = max(machine.do_after, later(self.context.now, gap))
 
     def push(self) -> None:
         """Send what is new straight to the workers; the next report's answer repeats it."""
         if not self._dirty or self._open >= self._most_open:
             return
-        now = self.cx.now
+        now = self.context.now
         for id in list(self._dirty):
             if self._open >= self._most_open:
                 return
@@ -583,16 +588,16 @@
                 del self._dirty[id]
                 self._resting[id] = machine.do_after
                 continue
-            if machine.doubted and 2 * self._open_doubted >= self._most_open:
+            if machine.suspected and 2 * self._open_suspected >= self._most_open:
                 continue
             del self._dirty[id]
             orders = self.orders(machine, answering=False)
             fencing = any(p.fence > machine.token_seen for p in machine.placements.values())
-            if machine.addr and machine.session and (orders or fencing or machine.doubted):
+            if machine.addr and machine.session and (orders or fencing or machine.suspected):
                 self._command(machine, orders)
 
     def _wake(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         for id, at in list(self._resting.items()):
             machine = self.machines.get(id)
             if machine is None:
@@ -601,18 +606,18 @@
                 del self._resting[id]
                 self._dirty[id] = None
 
-    def _opened(self, doubted: bool) -> None:
+    def _opened(self, suspected: bool) -> None:
         self._open += 1
-        self._open_doubted += doubted
+        self._open_suspected += suspected
 
-    def _closed(self, doubted: bool) -> None:
+    def _closed(self, suspected: bool) -> None:
         self._open -= 1
-        self._open_doubted -= doubted
+        self._open_suspected -= suspected
 
     def _command(self, machine: Machine, orders: tuple[Order, ...]) -> None:
         machine.do_open = True
-        doubted = machine.doubted
-        self._opened(doubted)
+        suspected = machine.suspected
+        self._opened(suspected)
         token, session, since = machine.token, machine.session, machine.known
         starts = [
             p for p in machine.placements.values() if not p.seen and not p.stopping and p.active
@@ -624,41 +629,41 @@
 
         def done(outcome: Outcome) -> None:
             machine.do_open = False
-            self._closed(doubted)
+            self._closed(suspected)
             if self._resting.pop(machine.id, None) is not None:  # something came up meanwhile
                 self._dirty[machine.id] = None
             if self.machines.get(machine.id) is not machine:
                 return
             if isinstance(outcome.body, Report):
-                self.hear(outcome.body, since)
+                self.apply_report(outcome.body, since)
                 self.pace(machine)
                 if outcome.status == 409 and machine.session == session:
-                    self.cx.log("info", f"machine {machine.id} refused token {token}")
+                    self.context.log("info", f"machine {machine.id} refused token {token}")
                 return
-            machine.do_after = Instant(self.cx.now + 1.0)
+            machine.do_after = Instant(self.context.now + 1.0)
             if outcome.sent:
                 # It may be executed at any time while token and session match.
-                machine.doubt_reach(self.cx.now)
+                machine.mark_suspected(self.context.now)
                 return
             if machine.reached < outcome.began:
-                self.doubt(machine)
+                self.suspect(machine)
             for placement in first:
                 # The order to start it never left, in this command or an answer: it is nowhere.
                 if placement.given < 0 and not placement.seen and placement.active:
                     self._remove(placement, "unsent")
 
-        self.cx.out.append(
+        self.context.emit(
             Command(done, machine.addr, token, session, orders, self.shares.authority.end())
         )
 
     # --- time ----------------------------------------------------------------------------
 
     def tick(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         self._wake()
         if now >= self._looked_at + LOOK_EVERY_S:
             self._looked_at = now
-            oldest = now - self.cx.lease_s
+            oldest = now - self.context.lease_s
             for machine in self.machines.values():
                 # Without authority nothing is sure: another may have answered it meanwhile, as
                 # when this process stood still.
@@ -668,61 +673,63 @@
                     and self.shares.may_command(machine.share.number)
                 ):
                     self._expire(machine)
-        for holding in self.shares.mine.values():
+        for holding in self.shares.owned.values():
             if not holding.settled and all(m.settled for m in self.of_share(holding.number)):
                 holding.settled = True
-                self.cx.log(
+                self.context.log(
                     "info", f"share {holding.number} settled after {now - holding.since:.2f} s"
                 )
-                self.watcher.changed()
+                self.observer.changed()
 
     def _expire(self, machine: Machine) -> None:
         """Nobody answered the worker for longer than its lease: it has killed everything."""
-        self.cx.log("info", f"machine {machine.id}: silent, lease over")
+        self.context.log("info", f"machine {machine.id}: silent, lease over")
         machine.expired_session = machine.session
         for placement in list(machine.placements.values()):
             self._remove(placement, "lease")
         machine.settled = True
-        machine.doubted_at = self.cx.now  # answered again for a while, as nothing is at stake
-        self.watcher.changed()
+        machine.suspected_at = (
+            self.context.now
+        )  # answered again for a while, as nothing is at stake
+        self.observer.changed()
 
     def silent_s(self, machine: Machine) -> float:
-        return self.cx.now - machine.heard
+        return self.context.now - machine.heard
 
     def silent(self) -> list[str]:
         """Machines of the shares owned here whose reports are overdue."""
-        limit = 1.25 * self.cx.platform.settings.workers.report_s + 1.5
+        limit = 1.25 * self.context.platform.settings.workers.report_s + 1.5
         return [
             m.id
             for m in self.machines.values()
-            if self.cx.now - max(m.heard, m.share.since, m.added) > limit
+            if self.context.now - max(m.heard, m.share.since, m.added) > limit
         ]
 
     def all_heard(self, share: ShareNo) -> bool:
         """Are all machines of the share that ever came up heard, and reached?"""
-        limit = 1.25 * self.cx.platform.settings.workers.report_s + 1.5
+        limit = 1.25 * self.context.platform.settings.workers.report_s + 1.5
         return all(
-            m.heard < 0 or (self.silent_s(m) <= limit and not m.doubted)
+            m.heard < 0 or (self.silent_s(m) <= limit and not m.suspected)
             for m in self.of_share(share)
         )
 
     def usable(self, machine: Machine) -> bool:
         """May new tasks go there?"""
-        report_s = self.cx.platform.settings.workers.report_s
+        report_s = self.context.platform.settings.workers.report_s
         return (
             machine.type is not None
             and machine.session > machine.expired_session
             and machine.settled
-            and not machine.doubted
+            and not machine.suspected
             and not machine.record.leaving
             and not machine.moving
             and machine.notice_until is None
             # Where finishes can't be stored for long, what ended gathers in the reports.
             and len(machine.placements) < MOST_LISTED
             and self.silent_s(machine) < 1.25 * report_s + 1.0
-            and self.cx.now >= machine.quarantined_until
-            and self.cx.now >= machine.draining_until
-            and self.cx.now >= machine.full_until
+            and self.context.now >= machine.quarantined_until
+            and self.context.now >= machine.draining_until
+            and self.context.now >= machine.full_until
         )
 
     def learn_addr(self, id: MachineId, addr: str) -> None:
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -34,17 +34,17 @@
 from .shares import Holding, Shares
 from .store import DONE, JOB, LEADER, PART, Store
 from .types import (
-    Answer,
-    AnswerBeat,
-    Beat,
+    Cancel,
     Health,
     Outcome,
-    PeerSaid,
+    PeerMessageReceived,
     Poll,
-    Say,
+    ReportAnswer,
+    ReportReceived,
+    SendToPeer,
     Submit,
     Tick,
-    Withdraw,
+    UserAnswer,
 )
 from .users import Users
 from .versions import Versions
@@ -59,31 +59,39 @@
     def __init__(
         self, platform: Platform, operators: Operators, rng: random.Random, now: Instant
     ) -> None:
-        self.cx = cx = Context(platform, operators, rng, now=now, started=now)
-        self.store = Store(cx)
+        self.context = context = Context(platform, operators, rng, now=now, started=now)
+        self.store = Store(context)
         self.jobs = Jobs()
-        self.versions = Versions(cx, self.store)
+        self.versions = Versions(context, self.store)
         self.authority = Authority(
-            cx,
+            context,
             self.store,
             self.jobs,
             self.versions,
             self._on_live,
             self._on_lost,
-            self._told_cancelled,
+            self._cancellations_seen,
         )
-        self.shares = Shares(cx, self.store, self.authority, self._on_gain, self._on_loss)
-        self.quota = Quota(cx)
-        self.scheduler = Scheduler(cx, self.store, self.shares, self.jobs, self.quota)
-        self.fleet = Fleet(cx, self.store, self.shares, self.jobs, self.scheduler)
+        self.shares = Shares(context, self.store, self.authority, self._on_gain, self._on_loss)
+        self.quota = Quota(context)
+        self.scheduler = Scheduler(context, self.store, self.shares, self.jobs, self.quota)
+        self.fleet = Fleet(context, self.store, self.shares, self.jobs, self.scheduler)
         self.scheduler.join(self.fleet)
         self.shares.all_heard = self.fleet.all_heard
         self.rental = Rental(
-            cx, self.store, self.authority, self.shares, self.fleet, self.scheduler, self.versions
+            context,
+            self.store,
+            self.authority,
+            self.shares,
+            self.fleet,
+            self.scheduler,
+            self.versions,
+        )
+        self.confirmations = Confirmations(
+            context, self.store, self.authority, self.shares, self.jobs
         )
-        self.confirmations = Confirmations(cx, self.store, self.authority, self.shares, self.jobs)
         self.users = Users(
-            cx, self.store, self.shares, self.jobs, self.quota, self.fleet, self.confirmations
+            context, self.store, self.shares, self.jobs, self.quota, self.fleet, self.confirmations
         )
         self.store.listen(JOB, self._job_changed)
         self.store.listen(DONE, self._page_changed)
@@ -102,32 +110,32 @@
     # --- entry ---------------------------------------------------------------------------
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        cx = self.cx
-        cx.now = Instant(max(now, cx.now))
+        context = self.context
+        context.now = Instant(max(now, context.now))
         self._dispatch(event)
         if not self.authority.live:
             self.authority.tick()  # a restart is short of time: workers' leases run
         self.scheduler.finishes.flush()
         self.scheduler.turn()
         self.fleet.push()
-        effects, cx.out = cx.out, []
+        effects, context.effects = context.effects, []
         return effects
 
     def _dispatch(self, event: Any) -> None:
         match event:
             case Outcome():
                 event.tag(event)
-            case Beat():
+            case ReportReceived():
                 self._beat(event)
             case Poll():
                 self.users.poll(event)
             case Submit():
                 self.users.submit(event)
-            case Withdraw():
-                self.users.withdraw(event)
+            case Cancel():
+                self.users.cancel(event)
             case Tick():
                 self._tick()
-            case PeerSaid():
+            case PeerMessageReceived():
                 self._peer_said(event.member, event.message)
             case Health():
                 self._health(event)
@@ -144,11 +152,11 @@
         if self.rental.leading:
             self.versions.note(self.rental.guard())
         self.confirmations.tick()
-        now = self.cx.now
+        now = self.context.now
         if now >= self._gossip_at + GOSSIP_EVERY_S:
             self._gossip_at = now
-            self.cx.out.append(
-                Say(
+            self.context.emit(
+                SendToPeer(
                     None,
                     Heartbeat(
                         self._contact(),
@@ -164,12 +172,12 @@
         for number, (request, until) in list(self._relays.items()):
             if now > until:
                 del self._relays[number]
-                self.cx.out.append(AnswerBeat(request, 503))
+                self.context.emit(ReportAnswer(request, 503))
 
     # --- owning --------------------------------------------------------------------------
 
     def _on_live(self) -> None:
-        self.cx.log("info", f"live as {self.authority.inc}")
+        self.context.log("info", f"live as {self.authority.inc}")
         self.shares.tick()
 
     def _on_lost(self, why: str) -> None:
@@ -188,9 +196,9 @@
     def _job_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         if value is not None:
             uid = JobId(key[len(JOB) :])
-            self.scheduler.job_changed(self.jobs.apply_job(uid, value, stamp, self.cx.now))
+            self.scheduler.job_changed(self.jobs.apply_job(uid, value, stamp, self.context.now))
 
-    def _told_cancelled(self, uids: list[JobId]) -> None:
+    def _cancellations_seen(self, uids: list[JobId]) -> None:
         """A peer saw these cancellations stored; this node may have no contact to read them."""
         for uid in uids:
             job = self.jobs.cancel(uid)
@@ -210,85 +218,86 @@
     # --- health --------------------------------------------------------------------------
 
     def _contact(self) -> bool:
-        return self.store.ready and self.cx.now < self.store.last_contact + 1.5
+        return self.store.ready and self.context.now < self.store.last_contact + 1.5
 
     def _health(self, ask: Health) -> None:
         """Healthy with contact, or when a majority is heard to have none: users then get
         their 503 at once instead of no connection. One that hears neither the state service
         nor a majority is rather alone with its workers, and the others can serve."""
-        now = self.cx.now
+        now = self.context.now
         heard = [contact for at, contact in self._peer_contact.values() if at > now - 3.0]
         # Before anybody could notice, a moment's failure is no reason to be taken out.
         outage = not any(heard) and (
-            1 + len(heard) >= self.cx.majority or now < self.store.last_contact + self.authority.ttl
+            1 + len(heard) >= self.context.majority
+            or now < self.store.last_contact + self.authority.ttl
         )
         ok = self.store.ready and (self._contact() or outage)
-        self.cx.out.append(
-            Answer(ask.request, 200 if ok else 503, {"ok": ok, "member": self.cx.me})
+        self.context.emit(
+            UserAnswer(ask.request, 200 if ok else 503, {"ok": ok, "member": self.context.me})
         )
 
     # --- workers -------------------------------------------------------------------------
 
-    def _beat(self, beat: Beat) -> None:
+    def _beat(self, beat: ReportReceived) -> None:
         report = beat.report
         record = self.fleet.records.get(report.machine)
         if record is not None:
             self.fleet.learn_addr(report.machine, report.addr)
         if not self.store.ready:
-            self._answer(beat, AnswerBeat(beat.request, 503))
+            self._answer(beat, ReportAnswer(beat.request, 503))
         elif record is None:
             self.rental.inventory.reported_unknown(report)
-            self._answer(beat, AnswerBeat(beat.request, 503))
-        elif record.share in self.shares.mine:
+            self._answer(beat, ReportAnswer(beat.request, 503))
+        elif record.share in self.shares.owned:
             self._own_beat(beat, record.share)
         elif beat.relayed_by is not None:
-            self._answer(beat, AnswerBeat(beat.request, 503))
+            self._answer(beat, ReportAnswer(beat.request, 503))
         else:
             self._pass_on(beat, record.share)
 
-    def _own_beat(self, beat: Beat, share: ShareNo) -> None:
+    def _own_beat(self, beat: ReportReceived, share: ShareNo) -> None:
         machine = self.fleet.machines.get(beat.report.machine)
         if machine is None or not self.shares.may_command(share):
-            self._answer(beat, AnswerBeat(beat.request, 503))
+            self._answer(beat, ReportAnswer(beat.request, 503))
             return
         before = machine.heard
-        if not self.fleet.hear(beat.report):
+        if not self.fleet.apply_report(beat.report):
             if self.fleet.overtaken(beat.report):
                 self.fleet.answered(machine)
                 self._answer(
-                    beat, AnswerBeat(beat.request, 200, machine.token, until=self.authority.end())
+                    beat, ReportAnswer(beat.request, 200, machine.token, until=self.authority.end())
                 )
             else:
-                self._answer(beat, AnswerBeat(beat.request, 503))
+                self._answer(beat, ReportAnswer(beat.request, 503))
             return
-        self.fleet.beaten(machine, beat.relayed_by is not None, before)
-        if self.fleet.unreached_s(machine) > self.fleet.patience():
+        self.fleet.note_route(machine, beat.relayed_by is not None, before)
+        if self.fleet.unreached_s(machine) > self.fleet.silence_limit_s():
             # Answers don't reach it, as it seems; without them its lease surely ends, which
             # proves its tasks gone. One that heard them after all comes with a new session.
-            self._answer(beat, AnswerBeat(beat.request, 503))
+            self._answer(beat, ReportAnswer(beat.request, 503))
             return
         self.scheduler.turn()
         self.fleet.answered(machine)
         orders = self.fleet.orders(machine, answering=True)  # may raise the token
         self.fleet.pace(machine)
         self._answer(
-            beat, AnswerBeat(beat.request, 200, machine.token, orders, until=self.authority.end())
+            beat, ReportAnswer(beat.request, 200, machine.token, orders, until=self.authority.end())
         )
 
     def _reachable(self, member: Member) -> bool:
         heard, _ = self._peer_contact.get(member, (LONG_AGO, False))
         # One that has just come back may not have said anything yet.
         heard = max(heard, self.shares.live_since(member))
-        return self.cx.now - heard < 2.5 * GOSSIP_EVERY_S
+        return self.context.now - heard < 2.5 * GOSSIP_EVERY_S
 
-    def _pass_on(self, beat: Beat, share: ShareNo) -> None:
+    def _pass_on(self, beat: ReportReceived, share: ShareNo) -> None:
         """Send the worker to the owner; if it comes back soon, the owner is out of its
         reach, and its reports are passed on over the peer link."""
-        now = self.cx.now
+        now = self.context.now
         owner = self.shares.living_owner(share)
         id = beat.report.machine
-        if owner is None or owner == self.cx.me or not self._reachable(owner):
-            self._answer(beat, AnswerBeat(beat.request, 503))
+        if owner is None or owner == self.context.me or not self._reachable(owner):
+            self._answer(beat, ReportAnswer(beat.request, 503))
             return
         sent = self._redirected.get(id)
         since = self._relaying.get(id)
@@ -298,22 +307,22 @@
         unheard = id in self._silent.get(owner, ())
         if not unheard and (sent is None or now - sent > REDIRECT_MEMORY_S):
             self._redirected[id] = now
-            self._answer(beat, AnswerBeat(beat.request, 421, owner=owner))
+            self._answer(beat, ReportAnswer(beat.request, 421, owner=owner))
             return
         self._redirected[id] = now
         self._relaying.setdefault(id, now)
         self._relay_no += 1
         self._relays[self._relay_no] = (beat.request, Instant(now + RELAY_TIMEOUT_S))
-        self.cx.out.append(Say(owner, RelayedReport(self._relay_no, beat.report)))
+        self.context.emit(SendToPeer(owner, RelayedReport(self._relay_no, beat.report)))
 
-    def _answer(self, beat: Beat, answer: AnswerBeat) -> None:
+    def _answer(self, beat: ReportReceived, answer: ReportAnswer) -> None:
         if beat.relayed_by is None:
-            self.cx.out.append(answer)
+            self.context.emit(answer)
         else:
             response = RelayedResponse(
                 beat.request, answer.status, answer.token, list(answer.orders)
             )
-            self.cx.out.append(Say(beat.relayed_by, response))
+            self.context.emit(SendToPeer(beat.relayed_by, response))
 
     # --- peers ---------------------------------------------------------------------------
 
@@ -325,32 +334,34 @@
                 self.store.sync()
             case CancellationNotice():
                 self.store.sync()
-                self._told_cancelled([message.uid])
+                self._cancellations_seen([message.uid])
                 if message.ask:
-                    self.cx.out.append(Say(member, self.confirmations.knowledge(message.uid)))
+                    self.context.emit(
+                        SendToPeer(member, self.confirmations.acknowledgement(message.uid))
+                    )
             case CancellationAck():
-                self.confirmations.told(member, message.uid, message.owner)
+                self.confirmations.record_ack(member, message.uid, message.owner)
             case GrantRequest():
-                self.authority.asked(member, message)
+                self.authority.handle_grant_request(member, message)
             case GrantResponse():
-                self.confirmations.vouched(member, message.number, message.cancelled)
-                self.authority.answered(member, message)
+                self.confirmations.record_grant(member, message.number, message.cancelled)
+                self.authority.handle_grant_response(member, message)
             case ShareLoad():
-                self.rental.told_load(message)
+                self.rental.handle_share_load(message)
             case UnknownMachine():
-                self.rental.inventory.told_unknown(message)
+                self.rental.inventory.handle_unknown_machine(message)
             case RelayedReport():
-                self._beat(Beat(message.number, message.report, member))
+                self._beat(ReportReceived(message.number, message.report, member))
             case RelayedResponse():
                 self._relayed(message)
             case _:
-                self.rental.yielding.asked(message)
+                self.rental.transfers.handle(message)
 
     def _heartbeat(self, member: Member, message: Heartbeat) -> None:
-        self._peer_contact[member] = (self.cx.now, message.contact)
+        self._peer_contact[member] = (self.context.now, message.contact)
         self._peer_running[member] = message.running
         self._silent[member] = set(message.silent)
-        self.confirmations.heard(member, message.applied)
+        self.confirmations.record_heartbeat(member, message.applied)
         self.users.running = {
             JobId(uid): n for counts in self._peer_running.values() for uid, n in counts.items()
         }
@@ -359,6 +370,6 @@
         """The owner's response to a report that was passed on: the worker gets it."""
         relay = self._relays.pop(message.number, None)
         if relay is not None:
-            self.cx.out.append(
-                AnswerBeat(relay[0], message.status, message.token, tuple(message.orders))
+            self.context.emit(
+                ReportAnswer(relay[0], message.status, message.token, tuple(message.orders))
             )
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -15,20 +15,20 @@
 
 
 class Order:
-    def __init__(self, cx: Context, quota: Quota) -> None:
-        self.cx = cx
+    def __init__(self, context: Context, quota: Quota) -> None:
+        self.context = context
         self.quota = quota
         self._lateness: dict[str, tuple[float, ...]] = {}
-        for aim in cx.platform.settings.objectives:
+        for aim in context.platform.settings.objectives:
             if aim.kind == "deadline" and aim.job_class is not None:
                 times = {*self._lateness.get(aim.job_class, ()), aim.times or 1.0}
                 self._set(self._lateness, aim.job_class, tuple(sorted(times)))
         self.within: dict[str, float] = {}
-        for aim in cx.platform.settings.objectives:
+        for aim in context.platform.settings.objectives:
             if aim.kind == "wait" and aim.job_class is not None and aim.within_s is not None:
                 self._set(self.within, aim.job_class, aim.within_s)
         self._finished_within: dict[str, list[float]] = {}
-        for aim in cx.platform.settings.objectives:
+        for aim in context.platform.settings.objectives:
             if aim.kind == "finished" and aim.job_class is not None and aim.within_s is not None:
                 limits = [*self._finished_within.get(aim.job_class, ()), aim.within_s]
                 self._set(self._finished_within, aim.job_class, limits)
@@ -43,7 +43,7 @@
         that will be late anyway must not make the next one late too."""
         job = work.job
         spec = job.spec
-        now = self.cx.now
+        now = self.context.now
         started = begun(work)
         key = (not self.quota.guaranteed(job), spec.rank)
         if not started and now > job.submitted + AGED_S and now >= work.aged_until:
@@ -67,5 +67,5 @@
             not spec.service
             and not spec.gang
             and not work.mistaken
-            and self.cx.now > work.job.submitted + AGED_S
+            and self.context.now > work.job.submitted + AGED_S
         )
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -25,7 +25,7 @@
 class Preemption:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         fleet: Fleet,
         quota: Quota,
         order: Order,
@@ -33,7 +33,7 @@
         work: Mapping[JobId, Work],
         gangs: Gangs,
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.fleet = fleet
         self.quota = quota
         self.order = order
@@ -133,7 +133,7 @@
 
     def _stop(self, victims: list[Placement], job: Job) -> None:
         for victim in victims:
-            self.cx.log("info", f"{victim.task} stopped for {job.uid}")
+            self.context.log("info", f"{victim.task} stopped for {job.uid}")
             self.gangs.stop(victim)
 
     def make_room_whole(self, work: Work, usable: Usable, claimed: set[MachineId]) -> None:
@@ -219,10 +219,10 @@
             # Else what began at last, with least to lose, would be stopped at once, and started
             # and stopped again many times a second.
             work = self.work.get(placement.task.job)
-            if work is not None and self.cx.now < work.aged_until:
+            if work is not None and self.context.now < work.aged_until:
                 continue
             if placement.job.spec.rank <= job.spec.rank and (
-                self.cx.now < placement.since + YOUNG_S
+                self.context.now < placement.since + YOUNG_S
                 or (work is not None and self.order.overdue(work))
             ):
                 continue
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -24,10 +24,10 @@
 
 
 class Quota:
-    def __init__(self, cx: Context) -> None:
+    def __init__(self, context: Context) -> None:
         self.teams: dict[Team, TeamLimits] = {
             Team(t.name): TeamLimits(t.cpus, t.gpus, t.cpus_max or math.inf, t.gpus_max or math.inf)
-            for t in cx.platform.settings.teams
+            for t in context.platform.settings.teams
         }
         self._held: dict[Team, Size] = {}
         self._ranks: dict[int, int] = {}  # placements by rank
--- a/runcourse/core/rental.py
+++ b/runcourse/core/rental.py
@@ -10,25 +10,25 @@
 from .authority import Authority
 from .balance import Balance
 from .context import Context
+from .demand import Demand, LoadReport, Place, serves, share_load
 from .ids import ABSENT, LONG_AGO, START, Instant, MachineId, Member, ShareNo, Stamp, Team
 from .inventory import Inventory
 from .machine import Record
 from .machines import Fleet
-from .needs import Load, Need, Place, load_of, serves
 from .placement import fits_times
 from .scheduler import Scheduler
 from .shares import Shares
 from .sizes import json_size
 from .store import CATALOG, LEADER, TYPES, Store
+from .transfers import MachineTransfers
 from .types import (
     MachineType,
     Outcome,
     ReadCatalog,
     Rent,
-    Say,
+    SendToPeer,
 )
 from .versions import Versions
-from .yielding import Yielding
 
 LOAD_EVERY_S = 0.25
 PLAN_EVERY_S = 0.5
@@ -52,7 +52,7 @@
 class Rental:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         store: Store,
         authority: Authority,
         shares: Shares,
@@ -60,19 +60,19 @@
         scheduler: Scheduler,
         versions: Versions,
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.versions = versions
         self.store = store
         self.authority = authority
         self.shares = shares
         self.fleet = fleet
         self.scheduler = scheduler
-        self.loads: dict[ShareNo, Load] = {}
+        self.loads: dict[ShareNo, LoadReport] = {}
         self.inventory = Inventory(
-            cx, store, shares, fleet, self.loads, lambda: self.leading, self.leader, self.guard
+            context, store, shares, fleet, self.loads, lambda: self.leading, self.leader, self.guard
         )
-        self.yielding = Yielding(cx, store, shares, fleet, scheduler)
-        self.balance = Balance(cx, shares, fleet, self.loads, self.yielding)
+        self.transfers = MachineTransfers(context, store, shares, fleet, scheduler)
+        self.balance = Balance(context, shares, fleet, self.loads, self.transfers)
         self._hires = 0
         self._claiming = False
         self._catalog_at = LONG_AGO
@@ -84,10 +84,10 @@
         self._cpus: dict[ShareNo, float] = {}  # of each share's machines, as of the newest plan
         self._led_since: Instant | None = None
         self._peaks: deque[tuple[Instant, float]] = deque()
-        self._drain_at = cx.now
+        self._drain_at = context.now
         self._boots: dict[str, deque[float]] = {}  # boots lately, in times of their type's
         self._booting: dict[MachineId, Instant] = {}  # hired by this leader and not heard yet
-        self._summed_at = cx.now
+        self._summed_at = context.now
 
     # --- leadership ----------------------------------------------------------------------
 
@@ -98,7 +98,7 @@
             bool(value)
             and value["inc"] == self.authority.inc
             and self.authority.live
-            and self.cx.now < self.authority.until
+            and self.context.now < self.authority.until
         )
 
     def leader(self) -> str | None:
@@ -109,9 +109,9 @@
         if (
             self._claiming
             or not self.authority.live
-            or self.authority.grant is None
+            or self.authority.lease is None
             or self.store.get(LEADER)
-            or self.cx.now >= self.authority.until
+            or self.context.now >= self.authority.until
         ):
             return
         self._claiming = True
@@ -121,7 +121,13 @@
 
         self.store.commit(
             [(LEADER, ABSENT)],
-            [(LEADER, {"member": self.cx.me, "inc": self.authority.inc}, self.authority.grant)],
+            [
+                (
+                    LEADER,
+                    {"member": self.context.me, "inc": self.authority.inc},
+                    self.authority.lease,
+                )
+            ],
             done,
             Store.URGENT,
         )
@@ -132,13 +138,13 @@
     # --- time ----------------------------------------------------------------------------
 
     def tick(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         if not self.store.ready:
             return
         if now >= self._load_at + LOAD_EVERY_S:
             self._load_at = now
             self._tell_load()
-            self.yielding.tick()
+            self.transfers.tick()
         self._claim()
         if not self.leading:
             self._led_since = None
@@ -149,10 +155,10 @@
             self.inventory.begin()
             self._recorded_at.clear()
             self._booting.clear()
-            self.cx.log("info", "leading")
+            self.context.log("info", "leading")
         if now >= self._catalog_at + (CATALOG_EVERY_S if self.fleet.types else 1.0):
             self._catalog_at = now
-            self.cx.out.append(ReadCatalog(self._catalog_read))
+            self.context.emit(ReadCatalog(self._catalog_read))
         self.inventory.tick()
         if now >= self._plan_at + PLAN_EVERY_S and self.fleet.types:
             self._plan_at = now
@@ -163,15 +169,15 @@
 
     def _tell_load(self) -> None:
         leader = self.leader()
-        for share in self.shares.mine:
-            message = load_of(self.cx, share, self.fleet, self.scheduler)
+        for share in self.shares.owned:
+            message = share_load(self.context, share, self.fleet, self.scheduler)
             if self.leading:
-                self.told_load(message)
-            if leader and leader != self.cx.me:
-                self.cx.out.append(Say(Member(leader), message))
+                self.handle_share_load(message)
+            if leader and leader != self.context.me:
+                self.context.emit(SendToPeer(Member(leader), message))
 
-    def told_load(self, message: ShareLoad) -> None:
-        self.loads[message.share] = Load(message, self.cx.now)
+    def handle_share_load(self, message: ShareLoad) -> None:
+        self.loads[message.share] = LoadReport(message, self.context.now)
 
     # --- catalogue -----------------------------------------------------------------------
 
@@ -185,7 +191,7 @@
             (key, page, None) for key, page in pages.items() if page != self.store.get(key)
         ]
         changes += [(key, None, None) for key in self.store.keys(TYPES) if key not in pages]
-        size = self.cx.limits.txn_ops
+        size = self.context.limits.txn_ops
         for n in range(0, len(changes), size):
             self.store.commit(
                 [self.guard()], changes[n : n + size], lambda result, stamp: None, Store.LATER
@@ -193,9 +199,9 @@
 
     def _catalog_pages(self, rows: list[list[Any]]) -> dict[str, list[list[Any]]]:
         """The catalogue as it goes into values; the former version reads the first alone."""
-        most = self.cx.limits.value_bytes
+        most = self.context.limits.value_bytes
         if not self.versions.all_read:
-            most = int(1024 * self.cx.platform.settings.state.value_kb)
+            most = int(1024 * self.context.platform.settings.state.value_kb)
         pages: list[list[list[Any]]] = [[]]
         for row in rows:
             if pages[-1] and json_size([*pages[-1], row]) > most:
@@ -220,11 +226,11 @@
         since = self._booting.get(id)
         if since is not None and heard:
             del self._booting[id]
-            took = (self.cx.now - since) / max(type_.boot_s, 1.0)
+            took = (self.context.now - since) / max(type_.boot_s, 1.0)
             self._boots.setdefault(type_.name, deque(maxlen=BOOTS_SEEN)).append(took)
 
     def _plan(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         self.inventory.largest = max(self.inventory.largest, len(self.fleet.records))
         self._cpus, _ = self.inventory.counts()
         booting: dict[ShareNo, dict[Place, float]] = {s: {} for s in self.shares.all()}
@@ -250,9 +256,9 @@
                     there[place] = there.get(place, 0.0) + 1.0
                 elif info is not None and now - since >= self._boot_limit(type_):
                     # Never came up, or much too late: returned and replaced elsewhere.
-                    self.cx.log("info", f"machine {id} did not come up, returned")
+                    self.context.log("info", f"machine {id} did not come up, returned")
                     self._note_refusal(record.type, record.zone, record.spot, 10.0)
-                    self.yielding.ask_owner(record.share, ReturnMachine(id))
+                    self.transfers.ask_owner(record.share, ReturnMachine(id))
                     again = Instant(now - self._boot_limit(type_) + 3.0)
                     self._recorded_at[id] = (record.stamp, again)
                     self._booting.pop(id, None)
@@ -268,18 +274,18 @@
                 booting[share][place] = booting[share].get(place, 0.0) + 1.0
         for share in self.shares.all():
             idle[share].sort(reverse=True)
-        unmet: dict[ShareNo, list[Need]] = {}
+        unmet: dict[ShareNo, list[Demand]] = {}
         for share in self.shares.all():
             load = self.loads.get(share)
             if load is not None and now - load.at < 5.0:
-                unmet[share] = self._left_over(load.needs, booting[share])
+                unmet[share] = self._left_over(load.demands, booting[share])
         self.balance.move_idle(unmet, idle)
         self._hire_for(unmet)
         self.balance.vacate_for(unmet)
         self.balance.balance(self._cpus)
         self._keep_spare(idle)
 
-    def _left_over(self, needs: list[Need], booting: dict[Place, float]) -> list[Need]:
+    def _left_over(self, needs: list[Demand], booting: dict[Place, float]) -> list[Demand]:
         """Needs that the machines on their way will not meet, taken by their number: which
         task will go to which of them is not decided here."""
         left = dict(booting)
@@ -298,12 +304,12 @@
                     left[place] = machines - n / each
         return needs
 
-    def _leave_block(self, need: Need, left: dict[Place, float]) -> None:
+    def _leave_block(self, need: Demand, left: dict[Place, float]) -> None:
         """A gang's need is met in one zone, by what is free there and what comes up there."""
         zones = {
             zone
             for type_ in self.fleet.types.values()
-            for zone in type_.zones or self.cx.platform.settings.zones
+            for zone in type_.zones or self.context.platform.settings.zones
         }
         need.lacks = {
             zone: need.hire - need.room.get(zone, 0)
@@ -330,18 +336,18 @@
 
     def _note_refusal(self, type_: str, zone: str, spot: bool, least: float = 4.0) -> None:
         key = (type_, zone, spot)
-        pause = min(60.0, max(least, self._refused.get(key, (0.0, self.cx.now))[0] * 2))
-        self._refused[key] = (pause, Instant(self.cx.now + pause))
+        pause = min(60.0, max(least, self._refused.get(key, (0.0, self.context.now))[0] * 2))
+        self._refused[key] = (pause, Instant(self.context.now + pause))
 
-    def _options(self, need: Need) -> list[tuple[float, MachineType, str, bool]]:
+    def _options(self, need: Demand) -> list[tuple[float, MachineType, str, bool]]:
         """Where machines for such tasks may be hired: price for one task, type, zone, spot."""
-        now = self.cx.now
+        now = self.context.now
         options = []
         for type_ in self.fleet.types.values():
             n = fits_times(need.size, type_.size)
             if not n:
                 continue
-            for zone in type_.zones or self.cx.platform.settings.zones:
+            for zone in type_.zones or self.context.platform.settings.zones:
                 for spot in (False, True):
                     if not serves(need, type_.name, zone, spot):
                         continue
@@ -354,7 +360,7 @@
                     options.append((price / min(n, need.count), type_, zone, spot))
         return options
 
-    def _hire_for(self, unmet: dict[ShareNo, list[Need]]) -> None:
+    def _hire_for(self, unmet: dict[ShareNo, list[Demand]]) -> None:
         """Hire what the needs of all shares come to, in few requests: the cloud's are scarce."""
         wanted: dict[tuple[ShareNo, str, bool, tuple[str, ...]], float] = {}
         for share, needs in unmet.items():
@@ -380,7 +386,7 @@
                 zone = min(zones, key=lambda z: (counts.get((share, z, spot), 0), z))
                 counts[share, zone, spot] = counts.get((share, zone, spot), 0) + 1
                 hires.setdefault((name, zone, spot), []).append(share)
-        most = max(2, round(2 * self.cx.platform.settings.cloud.rps))
+        most = max(2, round(2 * self.context.platform.settings.cloud.rps))
         for place, shares in sorted(hires.items(), key=lambda h: -len(h[1])):
             # In turn, so that each share has its part of what is granted.
             shares = _in_turn(shares)
@@ -390,7 +396,7 @@
                 self._hire(place, shares[n : n + MAX_HIRE])
 
     def _one_zone(
-        self, share: ShareNo, need: Need, options: list[tuple[float, MachineType, str, bool]]
+        self, share: ShareNo, need: Demand, options: list[tuple[float, MachineType, str, bool]]
     ) -> list[tuple[float, MachineType, str, bool]]:
         """A whole gang's machines are hired where it lacks least, then where the share has few."""
         counts: dict[str, int] = {}
@@ -410,13 +416,13 @@
         name = f"r-{self.store.stamp(LEADER)}-{self._hires}"
         rent = Rent(lambda outcome: self._hired(name, outcome), name, *place, len(shares))
         self._pending_hires[name] = (rent, shares)
-        self.cx.out.append(rent)
+        self.context.emit(rent)
 
     def _hired(self, name: str, outcome: Outcome) -> None:
         rent, shares = self._pending_hires.pop(name)
         if outcome.status == 200:
             ids: tuple[MachineId, ...] = outcome.body
-            self.cx.log(
+            self.context.log(
                 "info",
                 f"hired {len(ids)} of {rent.number} {rent.type} in {rent.zone}"
                 f"{' (spot)' if rent.spot else ''}",
@@ -440,21 +446,21 @@
             key = (rent.type, rent.zone, rent.spot)
             self._refused[key] = (
                 self._refused.get(key, (0.0, START))[0],
-                Instant(self.cx.now + 1.0),
+                Instant(self.context.now + 1.0),
             )
 
     def _keep_spare(self, idle: dict[ShareNo, list[tuple[float, MachineId, Record]]]) -> None:
         """Return what stays empty, beyond what was in use at once lately and a spare part."""
-        now = self.cx.now
+        now = self.context.now
         demand = sum(
-            load.used + sum(n.size.cpus * n.count for n in load.needs)
+            load.used + sum(n.size.cpus * n.count for n in load.demands)
             for load in self.loads.values()
         )
         self._peaks.append((now, demand))
-        window = self.cx.operators.peak_window
+        window = self.context.operators.peak_window
         while self._peaks and self._peaks[0][0] < now - window:
             self._peaks.popleft()
-        keep = max(d for _, d in self._peaks) * self.cx.operators.headroom
+        keep = max(d for _, d in self._peaks) * self.context.operators.headroom
         capacity = sum(self._cpus.values())
         if now >= self._summed_at + 30.0:
             self._summed_at = now
@@ -463,7 +469,7 @@
                 for id in [id for id in known if id not in self.fleet.records]:
                     del known[id]
             cheap = sum(r.spot for r in self.fleet.records.values())
-            self.cx.log(
+            self.context.log(
                 "info",
                 f"fleet: {len(self.fleet.records)} machines, {cheap} cheap,"
                 f" {sum(map(len, idle.values()))} empty; {capacity:.0f} CPUs,"
@@ -474,7 +480,7 @@
         for share in self.shares.all():
             for seconds, id, record in sorted(idle[share], key=lambda i: (i[2].spot, -i[0])):
                 type_ = self.fleet.types[record.type]
-                limit = self.cx.operators.idle_return
+                limit = self.context.operators.idle_return
                 if limit is None:
                     # A machine costs its boot again, and a minute at the least.
                     limit = min(max(60.0 - type_.boot_s, 0.5 * type_.boot_s), 45.0)
@@ -485,7 +491,7 @@
                 ):
                     capacity -= type_.cpus
                     self._cpus[share] -= type_.cpus
-                    self.yielding.ask_owner(share, ReturnMachine(id))
+                    self.transfers.ask_owner(share, ReturnMachine(id))
         if now >= self._drain_at and not any(idle.values()):
             self._drain(capacity, keep)
 
@@ -513,7 +519,7 @@
         if slack:
             share = max(slack, key=lambda s: slack[s])
             if slack[share] > 1.25 * largest:
-                self._drain_at = Instant(self.cx.now + 4.0)
+                self._drain_at = Instant(self.context.now + 4.0)
                 # A large surplus would last for many such steps: an eighth of it at once.
                 number = max(1, int((capacity - keep) / largest / 8))
-                self.yielding.ask_owner(share, DrainMachines(share, number))
+                self.transfers.ask_owner(share, DrainMachines(share, number))
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -9,16 +9,16 @@
 from typing import Any
 
 from .budget import Budget
-from .context import DRIFT, Context
+from .context import CLOCK_DRIFT, Context
+from .draining import Draining
 from .failures import FAILS, Failures
 from .finishes import Finishes
-from .gang_room import GangRoom
+from .gang_placement import GangPlacement
 from .gangs import INCOMPLETE, Gangs
 from .ids import ALWAYS, LONG_AGO, Instant, JobId, MachineId, ShareNo, TaskId, Team, later
 from .jobs import Job, Jobs
 from .machine import Machine, Placement
 from .machines import MOST_LISTED, Fleet
-from .moves import Moves
 from .order import Order
 from .placement import NOTHING, Size, fits_times, progress
 from .preemption import Preemption
@@ -52,8 +52,10 @@
 class Scheduler:
     """Watches the ledger, and fills machines with the tasks that wait."""
 
-    def __init__(self, cx: Context, store: Store, shares: Shares, jobs: Jobs, quota: Quota) -> None:
-        self.cx = cx
+    def __init__(
+        self, context: Context, store: Store, shares: Shares, jobs: Jobs, quota: Quota
+    ) -> None:
+        self.context = context
         self.store = store
         self.shares = shares
         self.jobs = jobs
@@ -61,14 +63,14 @@
         self.work: dict[JobId, Work] = {}
         # Per share: the job, how many of its tasks found no machine, and the zones closed to them.
         self.unmet: dict[ShareNo, list[tuple[Job, int, tuple[str, ...]]]] = {}
-        self.order = Order(cx, quota)
+        self.order = Order(context, quota)
         self._credit: dict[ShareNo, float] = {}  # tasks that overdue work may start first
         self._dirty = True
         self._next_turn = Instant(0.0)
         self._due_at = ALWAYS  # when what backs off is to be looked at again
         self._ending: dict[JobId, tuple[Job, Instant]] = {}  # cancelled; until when they may run
-        self.finishes = Finishes(cx, store, shares)
-        self.budget = Budget(cx)
+        self.finishes = Finishes(context, store, shares)
+        self.budget = Budget(context)
         self._queued = 0  # jobs that waited in the newest turn
         # CPUs that hold an image, and CPUs of all usable machines
         self._held: dict[ShareNo, tuple[Instant, dict[str, float], float]] = {}
@@ -79,13 +81,13 @@
         """The ledger tells the scheduler of changes, and the scheduler changes the ledger: the
         node builds the two for each other."""
         self.fleet = fleet
-        self.failures = Failures(self.cx, fleet, self.changed)
-        self.gangs = Gangs(self.cx, fleet, self.work)
+        self.failures = Failures(self.context, fleet, self.changed)
+        self.gangs = Gangs(self.context, fleet, self.work)
         self.preemption = Preemption(
-            self.cx, fleet, self.quota, self.order, self.budget, self.work, self.gangs
+            self.context, fleet, self.quota, self.order, self.budget, self.work, self.gangs
         )
-        self.gang_room = GangRoom(
-            self.cx,
+        self.gang_placement = GangPlacement(
+            self.context,
             self.shares,
             fleet,
             self.quota,
@@ -95,7 +97,7 @@
             self._score,
             self.order.within,
         )
-        self.moves = Moves(self.cx, self.shares, fleet, self.work, self.gangs)
+        self.draining = Draining(self.context, self.shares, fleet, self.work, self.gangs)
 
     # --- jobs ----------------------------------------------------------------------------
 
@@ -104,9 +106,12 @@
         if job.stage == "cancelled":
             # Its tasks may go on for a while where no owner has found them yet, and count
             # against the team's limit: whoever owns the share by then.
-            gone = later(self.cx.now, self.cx.platform.settings.workers.cancel_s * (1 + DRIFT))
+            gone = later(
+                self.context.now,
+                self.context.platform.settings.workers.cancel_s * (1 + CLOCK_DRIFT),
+            )
             self._ending[job.uid] = (job, gone)
-        if share not in self.shares.mine:
+        if share not in self.shares.owned:
             return
         if job.final:
             self._close(job)
@@ -164,7 +169,7 @@
         elif placement.job is not None and placement.job.final:
             self.fleet.stop(placement)
 
-    def lifted(self, placement: Placement) -> None:
+    def unplaced(self, placement: Placement) -> None:
         self.quota.remove(placement)
         work = self.work.get(placement.task.job)
         if work is not None:
@@ -185,7 +190,7 @@
             return
         index = placement.task.number
         machine = placement.machine
-        now = self.cx.now
+        now = self.context.now
         if why == "done" and not work.job.spec.service:
             # If one task of a gang is done, all are.
             for number in range(work.job.spec.tasks) if work.job.spec.gang else (index,):
@@ -222,8 +227,8 @@
         if self.failures.goes_well(work):
             self.failures.acquit(work)
             return
-        work.waits = FAILS
-        if self.cx.now < work.not_before or any(work.zones.values()):
+        work.wait_reason = FAILS
+        if self.context.now < work.not_before or any(work.zones.values()):
             return
         size = work.job.size
         fits = [
@@ -235,7 +240,7 @@
             self._serve(work, usable, fits, claimed, unlocated, {}, False)
         elif fits:
             self._fill(work, usable, fits, claimed, unlocated, False, 1)
-        work.waits = FAILS
+        work.wait_reason = FAILS
 
     def running(self, placement: Placement) -> None:
         work = self.work.get(placement.task.job)
@@ -248,7 +253,7 @@
     # --- turns ---------------------------------------------------------------------------
 
     def turn(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         # Room may open by time alone, as pauses and backoffs end.
         due = self._dirty or (any(self.unmet.values()) and now >= self._next_turn + RETRY_S)
         if not (due or now >= self._due_at) or now < self._next_turn:
@@ -258,7 +263,7 @@
         self._queued = 0
         self.budget.begin()
         self.preemption.begin()
-        for holding in list(self.shares.mine.values()):
+        for holding in list(self.shares.owned.values()):
             if self.shares.may_command(holding.number):
                 self._turn(holding)
             else:
@@ -268,7 +273,7 @@
         self._next_turn = Instant(now + min(0.02 + cost, LONGEST_GAP_S))
 
     def _turn(self, holding: Holding) -> None:
-        now = self.cx.now
+        now = self.context.now
         waiting = []
         mistaken = []
         hidden = self._hidden(holding)
@@ -276,11 +281,11 @@
             if not work.pending or work.share != holding.number:
                 continue
             if self._may_hide(work.job, holding, hidden):
-                work.waits = "share not settled"
+                work.wait_reason = "share not settled"
             elif work.mistaken:
                 mistaken.append(work)
             elif now < work.not_before:
-                work.waits = INCOMPLETE if work.incomplete else "its start was refused"
+                work.wait_reason = INCOMPLETE if work.incomplete else "its start was refused"
                 self._due_at = min(self._due_at, work.not_before)
             else:
                 waiting.append(work)
@@ -299,7 +304,7 @@
             return [m for m in machines if self.fleet.usable(m)]
 
         claimed: set[MachineId] = set()
-        self._reserved = self.preemption.reserved = self.gang_room.reserve(waiting, usable)
+        self._reserved = self.preemption.reserved = self.gang_placement.reserve(waiting, usable)
         unmet: list[tuple[Job, int, tuple[str, ...]]] = []
         # Sizes that found no room in this turn: what is no smaller won't find any either.
         full: dict[tuple[Any, ...], list[Size]] = {}
@@ -343,7 +348,7 @@
         job = work.job
         if self._reserved.get(machine.id, job.uid) == job.uid:
             return True
-        waits = self.cx.now - job.submitted
+        waits = self.context.now - job.submitted
         return (job.spec.service and waits > ELSEWHERE_S) or (
             not job.spec.gang and waits > UNBEGUN_S and not begun(work)
         )
@@ -420,7 +425,7 @@
             return 0
         spec, size = work.job.spec, work.job.size
         if spec.gang:
-            return self.gang_room.serve(
+            return self.gang_placement.serve(
                 work,
                 usable,
                 [m for m in roomy if self._open_to(work, m)],
@@ -430,7 +435,7 @@
             )
         kind = (spec.spot, spec.types, spec.zone)
         if any(small.fits(size) for small in full.get(kind, ())):
-            work.waits = "no machine with room"
+            work.wait_reason = "no machine with room"
             if last:
                 self.preemption.make_room(work, usable, claimed, len(work.pending))
             return len(work.pending)
@@ -460,14 +465,14 @@
         if total <= sum(m.room.cpus for m in roomy):
             return frozenset()
         at, held, cpus = self._held.get(holding.number, (LONG_AGO, {}, 0.0))
-        if self.cx.now >= at + HELD_EVERY_S:
+        if self.context.now >= at + HELD_EVERY_S:
             held, cpus = {}, 0.0
             for machine in usable():
                 assert machine.type is not None
                 cpus += machine.type.cpus
                 for image in (*fetching(machine), *machine.images):
                     held[image] = held.get(image, 0.0) + machine.type.cpus
-            self._held[holding.number] = (self.cx.now, held, cpus)
+            self._held[holding.number] = (self.context.now, held, cpus)
         if not cpus:
             return frozenset()
         return frozenset(
@@ -529,12 +534,12 @@
         used = machine.used if used is None else used
         score = progress(machine.type.size, used, job.size)
         # Extension: seconds until the image is there.
-        score -= self.cx.operators.image_weight * fetch_s(job, machine)
-        if self.cx.operators.gather_weight:
-            score += self.cx.operators.gather_weight * self._company(job, machine, used)
+        score -= self.context.operators.image_weight * fetch_s(job, machine)
+        if self.context.operators.gather_weight:
+            score += self.context.operators.gather_weight * self._consolidation(job, machine, used)
         return score
 
-    def _company(self, job: Job, machine: Machine, used: Size) -> float:
+    def _consolidation(self, job: Job, machine: Machine, used: Size) -> float:
         """Extension: gather what lasts on few machines, and fill those
         first, so that the others fall empty and can be returned. The progress score alone
         scatters tasks that all lean one way, since it favours the lighter machine. Replicas
@@ -565,10 +570,10 @@
         job = work.job
         size = job.size
         extra = unlocated.get(Team(job.spec.team), NOTHING)
-        now = self.cx.now
-        work.waits = ""
+        now = self.context.now
+        work.wait_reason = ""
         if not self.quota.allows(job, extra):
-            work.waits = "team limit"
+            work.wait_reason = "team limit"
             return 0
         held = self._room_with_image(work, usable, fits, claimed)
         pool = self.budget.sample(fits, len(work.pending))
@@ -577,7 +582,7 @@
         end = len(work.pending) - most
         while len(work.pending) > max(held, end):
             if not self.quota.allows(job, extra):
-                work.waits = "team limit"
+                work.wait_reason = "team limit"
                 return 0
             task = TaskId(job.uid, next(reversed(work.pending)))
             aside = []
@@ -592,7 +597,7 @@
                 break
             _, n, machine = scored[0]
             self.fleet.place(job, task.number, machine, machine.share.next_attempt())
-            self.cx.log(
+            self.context.log(
                 "debug", f"{task} placed on {machine.id}, {now - job.submitted:.2f} s after its job"
             )
             if size.fits(machine.room) and len(machine.placements) < MOST_LISTED:
@@ -603,7 +608,7 @@
                 heapq.heappush(scored, entry)
         missing = len(work.pending) - held
         if missing > 0:
-            work.waits = "no machine with room"
+            work.wait_reason = "no machine with room"
             if last:
                 self.preemption.make_room(work, usable, claimed, missing)
         return missing
@@ -628,7 +633,7 @@
     def tick(self) -> None:
         while self._ending:  # oldest first
             uid = next(iter(self._ending))
-            if self.cx.now < self._ending[uid][1]:
+            if self.context.now < self._ending[uid][1]:
                 break
             del self._ending[uid]
-        self.moves.tick()
+        self.draining.tick()
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from .authority import Authority
-from .context import DRIFT, Context
+from .context import CLOCK_DRIFT, Context
 from .ids import (
     ABSENT,
     LONG_AGO,
@@ -52,16 +52,16 @@
 class Shares:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         store: Store,
         authority: Authority,
         on_gain: Callable[[Holding], None],
         on_loss: Callable[[ShareNo], None],
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.authority = authority
-        self.mine: dict[ShareNo, Holding] = {}
+        self.owned: dict[ShareNo, Holding] = {}
         self._on_gain = on_gain
         self._on_loss = on_loss
         self._taking: set[ShareNo] = set()
@@ -74,7 +74,7 @@
         store.listen(MAPPING, self._mapping_changed)
 
     def all(self) -> list[ShareNo]:
-        return [ShareNo(n) for n in range(len(self.cx.members))]
+        return [ShareNo(n) for n in range(len(self.context.members))]
 
     # --- teams to shares -----------------------------------------------------------------
 
@@ -82,12 +82,16 @@
         """The names in the store were dealt round the shares: evenly, where a hash of few
         names leaves some shares with many and some with none. Any other name is hashed."""
         share = self._dealt.get(team)
-        return ShareNo(zlib.crc32(team.encode()) % len(self.cx.members)) if share is None else share
+        return (
+            ShareNo(zlib.crc32(team.encode()) % len(self.context.members))
+            if share is None
+            else share
+        )
 
     def _mapping_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         names = value["dealt"] if value else ()
         self._dealt = {
-            Team(str(name)): ShareNo(n % len(self.cx.members)) for n, name in enumerate(names)
+            Team(str(name)): ShareNo(n % len(self.context.members)) for n, name in enumerate(names)
         }
 
     def _mapping(self) -> tuple[list[tuple[str, int]], list[tuple[str, Any, int | None]]]:
@@ -98,8 +102,8 @@
             return [(MAPPING, int(self.store.stamp(MAPPING)))], []
         if any(self.owner(share) is not None for share in self.all()):
             return [(MAPPING, ABSENT)], []
-        names = sorted(team.name for team in self.cx.platform.settings.teams)
-        if json_size({"dealt": names}) > self.cx.limits.value_bytes:
+        names = sorted(team.name for team in self.context.platform.settings.teams)
+        if json_size({"dealt": names}) > self.context.limits.value_bytes:
             names = []  # more than a value holds: hashes for all
         return [(MAPPING, ABSENT)], [(MAPPING, {"dealt": names}, None)]
 
@@ -125,10 +129,10 @@
 
     def guard(self, share: ShareNo) -> tuple[str, int]:
         """The condition that makes a late transaction of a former owner fail."""
-        return (self.key(share), self.mine[share].epoch)
+        return (self.key(share), self.owned[share].epoch)
 
     def may_command(self, share: ShareNo) -> bool:
-        holding = self.mine.get(share)
+        holding = self.owned.get(share)
         # Its transaction succeeded before this node had read everything up to it: what was
         # cancelled until then must be known before anything is answered or commanded.
         return (
@@ -142,31 +146,31 @@
 
     def _changed(self, key: str, value: Any, stamp: Stamp) -> None:
         share = ShareNo(int(key[len(SHARE) :]))
-        holding = self.mine.get(share)
+        holding = self.owned.get(share)
         ours = (
             value is not None
-            and value["owner"] == self.cx.me
+            and value["owner"] == self.context.me
             and value["inc"] == self.authority.inc
             and self.authority.live
         )
         if holding is not None and (not ours or stamp > holding.epoch):
-            del self.mine[share]
-            self.cx.log("info", f"share {share} lost at epoch {stamp}")
+            del self.owned[share]
+            self.context.log("info", f"share {share} lost at epoch {stamp}")
             self._on_loss(share)
             holding = None
         if ours and holding is None:
-            holding = Holding(share, stamp, self.cx.now)
-            self.mine[share] = holding
+            holding = Holding(share, stamp, self.context.now)
+            self.owned[share] = holding
             former = self._former.pop(share, None)
             taken = f", taken over from {former}, whose lease ended" if former else ""
-            self.cx.log("info", f"share {share} owned, epoch {stamp}{taken}")
+            self.context.log("info", f"share {share} owned, epoch {stamp}{taken}")
             self._on_gain(holding)
             if self.store.applied < stamp:
                 self.store.sync()
 
     def drop_all(self) -> None:
-        for share in list(self.mine):
-            del self.mine[share]
+        for share in list(self.owned):
+            del self.owned[share]
             self._on_loss(share)
         self._taking.clear()
 
@@ -179,10 +183,10 @@
         when = [
             *fixed,
             (key, self.store.stamp(key)),
-            (LIVE + self.cx.me, self.store.stamp(LIVE + self.cx.me)),
+            (LIVE + self.context.me, self.store.stamp(LIVE + self.context.me)),
             *conditions,
         ]
-        value = {"owner": self.cx.me, "inc": self.authority.inc}
+        value = {"owner": self.context.me, "inc": self.authority.inc}
         self.store.commit(
             when,
             [*fixing, (key, value, None)],
@@ -191,32 +195,32 @@
         )
 
     def tick(self) -> None:
-        if not self.authority.live or self.cx.now >= self.authority.until:
+        if not self.authority.live or self.context.now >= self.authority.until:
             return
-        for member in self.cx.members:
+        for member in self.context.members:
             inc = self.authority.live_inc(member)
             if inc is None:
                 self._home_since.pop(member, None)
             elif self._home_since.get(member, (None,))[0] != inc:
-                self._home_since[member] = (inc, self.cx.now)
+                self._home_since[member] = (inc, self.context.now)
         for share in self.all():
-            if share not in self.mine:
+            if share not in self.owned:
                 self._consider(share)
             else:
                 self._consider_handback(share)
 
     def _consider(self, share: ShareNo) -> None:
         owner = self.owner(share)
-        home = self.cx.home(share)
-        now = self.cx.now
+        home = self.context.home(share)
+        now = self.context.now
         if owner is None:
             # Never owned: its home takes it at once, anybody after a while.
             waited = now - self._gone_since.setdefault(share, now)
-            if home == self.cx.me or (waited > 3 and self.authority.live_inc(home) is None):
+            if home == self.context.me or (waited > 3 and self.authority.live_inc(home) is None):
                 self._take(share, [])
             return
         member, inc = owner
-        if member == self.cx.me:
+        if member == self.context.me:
             # The process that wrote this under our name is dead, or it was this one before
             # it lost its lease: no waiting.
             if inc != self.authority.inc:
@@ -228,14 +232,14 @@
             return
         since = self._gone_since.setdefault(share, now)
         self.authority.saw_end(member, inc)
-        if not self.authority.attests(self.cx.me, inc):
+        if not self.authority.attests(self.context.me, inc):
             return
         others = [
             m
-            for m in self.cx.members
-            if m not in (self.cx.me, member) and self.authority.attests(m, inc)
+            for m in self.context.members
+            if m not in (self.context.me, member) and self.authority.attests(m, inc)
         ]
-        if 1 + len(others) < self.cx.majority:
+        if 1 + len(others) < self.context.majority:
             return
         if now - since < 0.3 * self._turn(share, member):
             return
@@ -254,25 +258,25 @@
             owner = self.living_owner(other)
             if owner in load:
                 load[owner] += 1
-        ranked = sorted(living, key=lambda m: (load[m], m == self.cx.home(share), m))
-        return ranked.index(self.cx.me) if self.cx.me in ranked else 0
+        ranked = sorted(living, key=lambda m: (load[m], m == self.context.home(share), m))
+        return ranked.index(self.context.me) if self.context.me in ranked else 0
 
     def _consider_handback(self, share: ShareNo) -> None:
-        holding = self.mine[share]
-        home = self.cx.home(share)
-        if home == self.cx.me or holding.giving or not holding.settled:
+        holding = self.owned[share]
+        home = self.context.home(share)
+        if home == self.context.me or holding.giving or not holding.settled:
             return
-        inc, since = self._home_since.get(home, (None, self.cx.now))
-        if inc is None or self.cx.now - since < HANDBACK_AFTER_S * (1 + DRIFT):
+        inc, since = self._home_since.get(home, (None, self.context.now))
+        if inc is None or self.context.now - since < HANDBACK_AFTER_S * (1 + CLOCK_DRIFT):
             return
-        if self.cx.now - holding.since < HANDBACK_AFTER_S:
+        if self.context.now - holding.since < HANDBACK_AFTER_S:
             return
         # Whoever takes it must locate its tasks anew, and would wait for each silent machine.
-        if not self.all_heard(share) and self.cx.now - holding.since < HANDBACK_AT_LAST_S:
+        if not self.all_heard(share) and self.context.now - holding.since < HANDBACK_AT_LAST_S:
             return
         # From here until the answer nothing is commanded: once stored, the other commands.
         holding.giving = True
-        self.cx.log("info", f"share {share} handed back to {home}")
+        self.context.log("info", f"share {share} handed back to {home}")
 
         def done(result: str, stamp: Stamp) -> None:
             if result in ("conflict", "refused"):
@@ -290,11 +294,11 @@
         """The hand-back may yet be applied: write the share anew, so that it can't."""
 
         def done(result: str, stamp: Stamp) -> None:
-            if result in ("unknown", "refused") and holding.number in self.mine:
+            if result in ("unknown", "refused") and holding.number in self.owned:
                 self._settle_unknown(holding)
 
-        if self.mine.get(holding.number) is holding:
-            value = {"owner": self.cx.me, "inc": self.authority.inc}
+        if self.owned.get(holding.number) is holding:
+            value = {"owner": self.context.me, "inc": self.authority.inc}
             self.store.commit(
                 [self.guard(holding.number)], [(self.key(holding.number), value, None)], done
             )
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -9,15 +9,15 @@
 
 
 def status_of(node: Node) -> dict[str, Any]:
-    now = node.cx.now
+    now = node.context.now
     shares = []
     for number in node.shares.all():
         owner = node.shares.owner(number)
-        holding = node.shares.mine.get(number)
+        holding = node.shares.owned.get(number)
         shares.append(
             {
                 "share": number,
-                "home": node.cx.home(number),
+                "home": node.context.home(number),
                 "owner": owner[0] if owner else None,
                 "alive": node.shares.living_owner(number) is not None,
                 "epoch": node.store.stamp(node.shares.key(number)),
@@ -58,13 +58,13 @@
             "tasks": len(work.pending),
             "gang": work.job.spec.gang,
             "for_s": round(now - work.job.submitted, 1),
-            "why": work.waits or "its turn",
+            "why": work.wait_reason or "its turn",
         }
         for work in list(node.scheduler.work.values())
         if work.pending
     ]
     return {
-        "member": node.cx.me,
+        "member": node.context.me,
         "entitled": node.authority.entitled(),
         "contact_s": round(now - node.store.last_contact, 2) if node.store.ready else None,
         "leader": node.rental.leader(),
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -67,8 +67,8 @@
 class Store:
     URGENT, OWNER, USER, LATER = range(4)
 
-    def __init__(self, cx: Context) -> None:
-        self.cx = cx
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.applied = Stamp(0)
         self.values: dict[str, Any] = {}
         self.stamps: dict[str, Stamp] = {}
@@ -84,9 +84,9 @@
         self._waiters: list[Waiter] = []
         self._queue: list[tuple[int, int, Commit]] = []
         self._order = itertools.count()
-        nodes = len(cx.members)
-        self._gap = nodes / (0.4 * cx.limits.rps)
-        self._share = 0.95 * cx.limits.write_rps / nodes
+        nodes = len(context.members)
+        self._gap = nodes / (0.4 * context.limits.rps)
+        self._share = 0.95 * context.limits.write_rps / nodes
         self._writes = Bucket(self._share, max(self._share, 4.0))
         self._paused_until = LONG_AGO
         self._raised_at = LONG_AGO
@@ -132,13 +132,13 @@
         self._start_read()
 
     def tick(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         if self._reading:
             pass
         elif not self.ready:
             if now >= self.failed_at + 0.2:
                 self._start_read()
-        elif self._waiters or now >= self._read_began + self.cx.operators.sync_every:
+        elif self._waiters or now >= self._read_began + self.context.operators.sync_every:
             self._start_read()
         if self.failing and now > self.last_contact + GIVE_UP_AFTER_S:
             self._give_up()
@@ -155,10 +155,10 @@
 
     def _drop(self, commit: Commit) -> None:
         self._queued -= len(commit.then)
-        commit.tag(Outcome(commit.tag, 0, LATE, sent=False, began=self.cx.now))
+        commit.tag(Outcome(commit.tag, 0, LATE, sent=False, began=self.context.now))
 
     def _start_read(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         if self._reading or now < self._read_began + self._gap:
             return
         # Rejected reads must not turn into a storm while the service is down.
@@ -175,9 +175,9 @@
                 self._start_read()
 
         if self.ready:
-            self.cx.out.append(Follow(done, self.applied))
+            self.context.emit(Follow(done, self.applied))
         else:
-            self.cx.out.append(ReadAll(done))
+            self.context.emit(ReadAll(done))
 
     def _read(self, outcome: Outcome, sent: Instant, waiters: list[Waiter]) -> None:
         ok = outcome.status == 200
@@ -201,7 +201,7 @@
         elif outcome.status == 410:
             self.ready = False  # too far behind: read everything again
         # A read that was answered before this process stood still proves nothing after it.
-        fresh = ok and self.cx.now <= sent + FRESH_S
+        fresh = ok and self.context.now <= sent + FRESH_S
         for waiter in waiters:
             waiter(fresh)
 
@@ -216,7 +216,7 @@
             self.failing = False
         elif status not in (404, 409, 410, 429):
             self.failing = True
-            self.failed_at = self.cx.now
+            self.failed_at = self.context.now
 
     # --- changing ------------------------------------------------------------------------
 
@@ -253,7 +253,7 @@
             elif status == 400:
                 # Never repeated as it is: whoever asked for it must ask for less.
                 size = max((json_size(value) for _, value, _ in then), default=0)
-                self.cx.log(
+                self.context.log(
                     "error",
                     f"the state service takes no such change: {len(then)} keys"
                     f" from {then[0][0] if then else '-'}, the largest value"
@@ -265,7 +265,7 @@
             elif status in (429, 503) or (status == 0 and not outcome.sent):
                 self.note_contact(False, status, Instant(outcome.began))
                 if status == 429:
-                    self._paused_until = Instant(self.cx.now + 0.1)
+                    self._paused_until = Instant(self.context.now + 0.1)
                     self._writes.rate = max(self._share, 0.7 * self._writes.rate)
                     # Surely not executed: waiting a moment costs less than a user's retry.
                     if tries < TRIES:
@@ -286,7 +286,7 @@
         push(1)
 
     def _flush(self) -> None:
-        now = self.cx.now
+        now = self.context.now
         while self._queue:
             urgency, _, commit = self._queue[0]
             if now >= commit.until:
@@ -301,7 +301,7 @@
                 if self._writes.wait(now, len(commit.then)) > 0:
                     # The other nodes seldom use all of their parts: ask for more, until the
                     # state service says that it is too much.
-                    most = 0.9 * self.cx.limits.write_rps
+                    most = 0.9 * self.context.limits.write_rps
                     step = 0.5 * self._share * min(now - self._raised_at, 0.2)
                     self._writes.rate = min(most, self._writes.rate + step)
                     self._raised_at = now
@@ -311,4 +311,4 @@
                 self._writes.level -= len(commit.then)
             heapq.heappop(self._queue)
             self._queued -= len(commit.then)
-            self.cx.out.append(commit)
+            self.context.emit(commit)
--- a/runcourse/core/yielding.py
+++ b/runcourse/core/transfers.py
@@ -16,24 +16,24 @@
     YieldMachines,
 )
 from .context import Context
+from .demand import Demand, serves
 from .ids import Instant, MachineId, ShareNo, Stamp
 from .machine import Machine
 from .machines import Fleet
-from .needs import Need, serves
 from .scheduler import Scheduler
 from .shares import Shares
 from .store import MACHINE, Store
-from .types import Say
+from .types import SendToPeer
 
 VACATE_S = 15.0  # within which a machine promised to another share must be empty
 YIELD_S = 45.0  # within which a machine that another share asked for must fall empty
 
 
-class Yielding:
+class MachineTransfers:
     def __init__(
-        self, cx: Context, store: Store, shares: Shares, fleet: Fleet, scheduler: Scheduler
+        self, context: Context, store: Store, shares: Shares, fleet: Fleet, scheduler: Scheduler
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.shares = shares
         self.fleet = fleet
@@ -47,7 +47,7 @@
         self._give_promised()
         self._retry()
 
-    def asked(self, request: MachineRequest) -> None:
+    def handle(self, request: MachineRequest) -> None:
         """Carry out what the leader asks, or what a former owner passes on."""
         match request:
             case TransferredState():
@@ -58,7 +58,7 @@
                 self._yield(request)
             case DrainMachines():
                 if self.shares.may_command(request.share):
-                    self.scheduler.moves.drain(request.share, request.number)
+                    self.scheduler.draining.drain(request.share, request.number)
             case ReturnMachine():
                 machine = self._free(request.machine)
                 if machine is not None:
@@ -84,7 +84,7 @@
         )
 
     def _other(self, share: ShareNo, to: ShareNo) -> bool:
-        return to != share and 0 <= to < len(self.cx.members)
+        return to != share and 0 <= to < len(self.context.members)
 
     def change_record(self, machine: Machine, **changes: Any) -> None:
         """Give a machine away or mark it leaving; nothing new goes there from now on."""
@@ -122,8 +122,8 @@
         attempt()
 
     def _retry(self) -> None:
-        if self._again and self.cx.now >= self._again_at:
-            self._again_at = Instant(self.cx.now + 0.3)
+        if self._again and self.context.now >= self._again_at:
+            self._again_at = Instant(self.context.now + 0.3)
             again, self._again = self._again, []
             for attempt in again:
                 attempt()
@@ -131,7 +131,7 @@
     def _give_promised(self) -> None:
         for id, (to, until) in list(self._promised.items()):
             machine = self.fleet.machines.get(id)
-            if machine is None or self.cx.now > until:
+            if machine is None or self.context.now > until:
                 del self._promised[id]
             elif self._may_leave(machine):
                 del self._promised[id]
@@ -139,7 +139,7 @@
 
     def _yield(self, request: YieldMachines) -> None:
         """Machines of that many CPUs, those promised before included, go as they fall empty."""
-        share, to, need = request.share, request.to, Need(request.need)
+        share, to, need = request.share, request.to, Demand(request.need)
         if not self.shares.may_command(share) or not self._other(share, to):
             return
         half = left = request.cpus
@@ -147,7 +147,7 @@
             machine = self.fleet.machines.get(id)
             if machine is not None and machine.type is not None and other == to:
                 left -= machine.type.cpus
-        for machine in self.scheduler.moves.soon_empty(
+        for machine in self.scheduler.draining.soon_empty(
             share,
             lambda m: (
                 serves(need, m.record.type, m.record.zone, m.record.spot)
@@ -159,33 +159,33 @@
             # A machine may be more than half of the difference, if it is no more than all of it.
             if machine.type.cpus <= left or half == left >= machine.type.cpus / 2:
                 left -= machine.type.cpus
-                machine.draining_until = Instant(self.cx.now + YIELD_S)
+                machine.draining_until = Instant(self.context.now + YIELD_S)
                 self._promised[machine.id] = (to, machine.draining_until)
 
     def _vacate(self, request: VacateMachine) -> None:
-        share, to, need = request.share, request.to, Need(request.need)
+        share, to, need = request.share, request.to, Demand(request.need)
         if (
             not self.shares.may_command(share)
             or not self._other(share, to)
             or any(job.spec.rank <= need.rank for job, _, _ in self.scheduler.unmet.get(share, ()))
         ):
             return
-        machine = self.scheduler.moves.vacate(
+        machine = self.scheduler.draining.vacate(
             share,
             need.rank,
             need.size,
             lambda m: serves(need, m.record.type, m.record.zone, m.record.spot),
         )
         if machine is not None:
-            self.cx.log("info", f"machine {machine.id}: makes way for share {to}")
-            self._promised[machine.id] = (to, Instant(self.cx.now + VACATE_S))
+            self.context.log("info", f"machine {machine.id}: makes way for share {to}")
+            self._promised[machine.id] = (to, Instant(self.context.now + VACATE_S))
 
     def _return_silent(self) -> None:
         """A machine that is silent well beyond its reports is returned: once the cloud has
         answered, its tasks are nowhere and may start elsewhere before the lease is over."""
-        now = self.cx.now
-        limit = self.fleet.patience()
-        for holding in self.shares.mine.values():
+        now = self.context.now
+        limit = self.fleet.silence_limit_s()
+        for holding in self.shares.owned.values():
             if not self.shares.may_command(holding.number):
                 continue
             machines = self.fleet.of_share(holding.number)
@@ -202,12 +202,12 @@
             for m in silent:
                 if not m.record.leaving and not m.moving:
                     why = "silent" if now - m.heard > limit else "heard, but not reached"
-                    self.cx.log("warning", f"machine {m.id}: {why}, returned")
+                    self.context.log("warning", f"machine {m.id}: {why}, returned")
                     self.change_record(m, leaving=True)
 
     def ask_owner(self, share: ShareNo, message: MachineRequest) -> None:
         owner = self.shares.living_owner(share)
-        if owner == self.cx.me:
-            self.asked(message)
+        if owner == self.context.me:
+            self.handle(message)
         elif owner is not None:
-            self.cx.out.append(Say(owner, message))
+            self.context.emit(SendToPeer(owner, message))
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -89,7 +89,7 @@
     uid: str
 
 
-class Withdraw(msgspec.Struct):
+class Cancel(msgspec.Struct):
     request: int
     uid: str
 
@@ -98,7 +98,7 @@
     request: int
 
 
-class Beat(msgspec.Struct):
+class ReportReceived(msgspec.Struct):
     """A worker's report: received here, or passed on by a peer (`relayed_by`)."""
 
     request: int
@@ -123,7 +123,7 @@
     began: float = 0.0  # when the request was handed to the network
 
 
-class PeerSaid(msgspec.Struct):
+class PeerMessageReceived(msgspec.Struct):
     member: Member
     message: PeerMessage
 
@@ -134,7 +134,7 @@
 # stand still between a decision and its leaving, while its clocks run on.
 
 
-class Answer(msgspec.Struct):
+class UserAnswer(msgspec.Struct):
     request: int
     status: int
     body: dict[str, Any]
@@ -142,7 +142,7 @@
     until: Instant = ALWAYS
 
 
-class AnswerBeat(msgspec.Struct):
+class ReportAnswer(msgspec.Struct):
     """A report's answer: 200 with token and orders, 421 with the owner, or 503."""
 
     request: int
@@ -171,14 +171,14 @@
     until: Instant = ALWAYS
 
 
-class Grant(msgspec.Struct):
+class GrantLease(msgspec.Struct):
     tag: Any
     ttl_ms: int
 
 
-class Extend(msgspec.Struct):
+class ExtendLease(msgspec.Struct):
     tag: Any
-    grant: int
+    lease: int
 
 
 class Command(msgspec.Struct):
@@ -221,7 +221,7 @@
     machines: list[MachineId]
 
 
-class Say(msgspec.Struct):
+class SendToPeer(msgspec.Struct):
     """A message to one peer, or to all of them when `member` is None."""
 
     member: Member | None
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -20,7 +20,7 @@
 from .quota import Quota
 from .shares import Shares
 from .store import JOB, LIVE, Store
-from .types import Answer, Poll, Say, Submit, Withdraw
+from .types import Cancel, Poll, SendToPeer, Submit, UserAnswer
 
 GIVEN_UP_S = 3.0  # a change not sent by then has been refused to its user
 MAX_BACKLOG_S = 0.7  # changes waiting for the write budget
@@ -30,7 +30,7 @@
 class Users:
     def __init__(
         self,
-        cx: Context,
+        context: Context,
         store: Store,
         shares: Shares,
         jobs: Jobs,
@@ -38,7 +38,7 @@
         fleet: Fleet,
         confirmations: Confirmations,
     ) -> None:
-        self.cx = cx
+        self.context = context
         self.store = store
         self.confirmations = confirmations
         self.shares = shares
@@ -49,14 +49,14 @@
         self._creating: Counter[str] = Counter()  # submissions being stored, by team
         self._waiting = 0  # questions waiting for one catch-up read
         # A connection asks one thing at a time, so no more can wait than there are.
-        self._most_waiting = cx.platform.settings.quota.sockets(len(cx.members)).served
+        self._most_waiting = context.platform.settings.quota.sockets(len(context.members)).served
 
     # --- answers -------------------------------------------------------------------------
 
     def refuse(
         self, request: int, status: int = 503, after: float = 1.0, why: str = "not now"
     ) -> None:
-        self.cx.out.append(Answer(request, status, {"error": why}, after))
+        self.context.emit(UserAnswer(request, status, {"error": why}, after))
 
     def _state(self, job: Job) -> dict[str, Any]:
         if job.final:
@@ -65,7 +65,7 @@
         share = self.shares.of_team(Team(job.spec.team))
         running = (
             self.fleet.running_of(job.uid)
-            if share in self.shares.mine
+            if share in self.shares.owned
             else self.running.get(job.uid, 0)
         )
         done = min(job.done_count, job.spec.tasks)
@@ -92,7 +92,7 @@
     def poll(self, ask: Poll) -> None:
         uid = JobId(ask.uid)
         if not UID.match(uid):
-            self.cx.out.append(Answer(ask.request, 404, {"error": "no such job"}))
+            self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
             return
         if self._answer_final(ask.request, uid):
             return
@@ -113,7 +113,7 @@
     def _by_read(self, request: int, status: int, body: dict[str, Any]) -> None:
         """An answer that rests on the newest read: after a pause of this process another node
         may have given a newer one, so then it must not leave."""
-        self.cx.out.append(Answer(request, status, body, until=self.store.fresh_until))
+        self.context.emit(UserAnswer(request, status, body, until=self.store.fresh_until))
 
     def _answer_final(self, request: int, uid: JobId) -> bool:
         """A final stage stands, whoever asks and whenever; that a job is cancelled is told on
@@ -125,7 +125,7 @@
 
         def then(sure: bool) -> None:
             if sure:
-                self.cx.out.append(Answer(request, 200, state))
+                self.context.emit(UserAnswer(request, 200, state))
             else:
                 self.refuse(request, 503, 1.0, "the cancellation is stored, not confirmed yet")
 
@@ -142,7 +142,7 @@
         if uid and self._answer_final(ask.request, uid):
             return
         if not uid:
-            self.cx.out.append(Answer(ask.request, 400, {"error": ask.fault}))
+            self.context.emit(UserAnswer(ask.request, 400, {"error": ask.fault}))
         elif self.jobs.get(uid) is not None:
             self._after_sync(ask.request, lambda: self._known(ask.request, uid))
         elif ask.spec is None:
@@ -152,7 +152,7 @@
             self.refuse(ask.request, 503, 1.0, "machine types not known yet")
         else:
             problem = self._impossible(ask.spec)
-            stored = storable(ask.spec, self.fleet.types, self.cx.limits.value_bytes)
+            stored = storable(ask.spec, self.fleet.types, self.context.limits.value_bytes)
             if problem:
                 self._verdict(ask.request, uid, 422, problem)
             elif stored is None:
@@ -206,7 +206,7 @@
         def result(outcome: str, stamp: Stamp) -> None:
             self._creating[spec.team] -= 1
             if outcome == "ok":
-                self.cx.out.append(Answer(request, 201, job_state(uid, "queued")))
+                self.context.emit(UserAnswer(request, 201, job_state(uid, "queued")))
                 self.tell_owner(self.shares.of_team(Team(spec.team)), SyncRequest())
             elif outcome == "conflict":
                 self._after_sync(request, lambda: self._known(request, uid))
@@ -218,20 +218,20 @@
             [(JOB + uid, job_value(spec, "accepted"), None)],
             result,
             Store.USER,
-            later(self.cx.now, GIVEN_UP_S),
+            later(self.context.now, GIVEN_UP_S),
         )
 
     def tell_owner(self, share: ShareNo, message: PeerMessage) -> None:
         owner = self.shares.living_owner(share)
-        if owner is not None and owner != self.cx.me:
-            self.cx.out.append(Say(owner, message))
+        if owner is not None and owner != self.context.me:
+            self.context.emit(SendToPeer(owner, message))
 
     # --- cancellations -------------------------------------------------------------------
 
-    def withdraw(self, ask: Withdraw) -> None:
+    def cancel(self, ask: Cancel) -> None:
         uid = JobId(ask.uid)
         if not UID.match(uid):
-            self.cx.out.append(Answer(ask.request, 404, {"error": "no such job"}))
+            self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
         elif not self._answer_final(ask.request, uid):
             self._after_sync(ask.request, lambda: self._cancel(ask.request, uid, 3))
 
@@ -254,7 +254,7 @@
             if outcome == "ok":
                 # Everybody, as the owner may have lost contact, and be vouched for by any of
                 # them: they pass it on with their vouch.
-                self.cx.out.append(Say(None, CancellationNotice(uid)))
+                self.context.emit(SendToPeer(None, CancellationNotice(uid)))
                 self._answer_final(request, uid)
             elif outcome == "unknown":
                 # It may stand, and others may read it: they too tell it only when it is safe.
@@ -267,8 +267,8 @@
         # The owner's live key stands: it hears of this, or it loses its authority in time.
         self.store.commit(
             [(key, int(job.stamp)), (LIVE + owner, self.store.stamp(LIVE + owner))],
-            [(key, final_value(job.spec, "cancelled", self.cx.limits.value_bytes), None)],
+            [(key, final_value(job.spec, "cancelled", self.context.limits.value_bytes), None)],
             result,
             Store.OWNER,
-            later(self.cx.now, GIVEN_UP_S),
+            later(self.context.now, GIVEN_UP_S),
         )
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -18,8 +18,8 @@
 
 
 class Versions:
-    def __init__(self, cx: Context, store: Store) -> None:
-        self.cx = cx
+    def __init__(self, context: Context, store: Store) -> None:
+        self.context = context
         self.store = store
         self._seen: dict[Member, int] = {}
         self._noting = False
@@ -30,7 +30,7 @@
             return
         member, version = Member(key[len(LIVE) :]), int(value.get("version", FORMER))
         if version < VERSION and self.all_read:
-            self.cx.log(
+            self.context.log(
                 "warning",
                 f"{member} came back with a former version: it starts anew what"
                 " it can't read to be done",
@@ -43,14 +43,14 @@
 
     def seen(self) -> dict[Member, int | None]:
         """None: not seen yet."""
-        return {member: self._seen.get(member) for member in self.cx.members}
+        return {member: self._seen.get(member) for member in self.context.members}
 
     def note(self, guard: tuple[str, int]) -> None:
         """By the leader: note that all are of this version, once they are."""
         if (
             self._noting
             or self.all_read
-            or any(self._seen.get(m, FORMER) < VERSION for m in self.cx.members)
+            or any(self._seen.get(m, FORMER) < VERSION for m in self.context.members)
         ):
             return
         self._noting = True
@@ -59,7 +59,7 @@
             self._noting = False
 
         # Those that live must still be the ones that were seen.
-        when = [(LIVE + m, int(self.store.stamp(LIVE + m))) for m in self.cx.members]
+        when = [(LIVE + m, int(self.store.stamp(LIVE + m))) for m in self.context.members]
         self.store.commit(
             [guard, (FORMAT, int(ABSENT)), *when],
             [(FORMAT, {"version": VERSION}, None)],
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -34,7 +34,7 @@
         "share",
         "started",
         "tried",
-        "waits",
+        "wait_reason",
         "zones",
     )
 
@@ -54,7 +54,7 @@
         self.mistaken = False  # fails wherever it is started, as it seems
         self.tried: set[int] = set()  # tasks of which machines may still list a former attempt
         self.probes = 0  # tries since that was found
-        self.waits = ""  # why its next task waits
+        self.wait_reason = ""  # why its next task waits
         # Of a gang alone, which has one attempt for all its tasks:
         self.attempt: Attempt | None = None
         self.started = False  # all its tasks ran at the same time, or may have
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -90,13 +90,13 @@
 
     def _carry_out(self, effect: Any) -> None:
         match effect:
-            case t.Answer() | t.AnswerBeat():
+            case t.UserAnswer() | t.ReportAnswer():
                 future = self._answers.pop(effect.request, None)
                 if future is not None and not future.done():
                     future.set_result(effect)
             case t.Log():
                 log.log(LEVELS[effect.level], "%s", effect.text)
-            case t.Say():
+            case t.SendToPeer():
                 self._links.send(effect.member, effect.message)
             case t.Follow():
                 self._start(effect.tag, self._state.follow(ROOT, effect.since))
@@ -104,10 +104,10 @@
                 self._start(effect.tag, self._state.read_all(ROOT))
             case t.Commit():
                 self._start(effect.tag, self._state.commit(effect))
-            case t.Grant():
+            case t.GrantLease():
                 self._start(effect.tag, self._state.grant(effect.ttl_ms))
-            case t.Extend():
-                self._start(effect.tag, self._state.extend(effect.grant))
+            case t.ExtendLease():
+                self._start(effect.tag, self._state.extend(effect.lease))
             case t.Command():
                 self._start(effect.tag, self._workers.command(effect))
             case t.Probe():
@@ -146,7 +146,7 @@
             log.error("internal error", exc_info=task.exception())
 
     def _heard(self, member: Member, message: PeerMessage) -> None:
-        self._feed(t.PeerSaid(member, message))
+        self._feed(t.PeerMessageReceived(member, message))
 
     def _operators_ask(self, question: OperatorQuestion) -> dict[str, Any]:
         if question.ask == "status":
@@ -201,7 +201,7 @@
             if path.startswith("/v1/jobs/") and len(parts) == 4:
                 return await self._user(t.Poll(0, parts[3])) if method == "GET" else Reply(405)
             if path.startswith("/v1/jobs/") and len(parts) == 5 and parts[4] == "withdraw":
-                return await self._user(t.Withdraw(0, parts[3])) if method == "POST" else Reply(405)
+                return await self._user(t.Cancel(0, parts[3])) if method == "POST" else Reply(405)
             return Reply(404, wire.encode({"error": "no such path"}))
         except wire.Malformed as problem:
             self._malformed[path] = self._malformed.get(path, 0) + 1
@@ -219,7 +219,7 @@
         return await self._user(event)
 
     async def _user(self, event: Any) -> Reply:
-        answer: t.Answer | None = await self._ask(event, USER_S)
+        answer: t.UserAnswer | None = await self._ask(event, USER_S)
         # From here to the socket nothing waits: this is where it leaves.
         if answer is None or self._loop.time() >= answer.until:
             return Reply(503, wire.encode({"error": "no answer in time"}), 1.0)
@@ -227,7 +227,7 @@
 
     async def _beat(self, body: bytes) -> Reply:
         report = wire.report(body)
-        answer: t.AnswerBeat | None = await self._ask(t.Beat(0, report), BEAT_S)
+        answer: t.ReportAnswer | None = await self._ask(t.ReportReceived(0, report), BEAT_S)
         if answer is None or answer.status == 503 or self._loop.time() >= answer.until:
             return Reply(503, wire.encode({}))
         if answer.status == 421:
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -28,13 +28,13 @@
             (
                 "runcourse_contact_age_seconds",
                 "since the state service answered",
-                node.cx.now - node.store.last_contact if node.store.ready else -1,
+                node.context.now - node.store.last_contact if node.store.ready else -1,
             ),
-            ("runcourse_shares_owned", "shares owned here", len(node.shares.mine)),
+            ("runcourse_shares_owned", "shares owned here", len(node.shares.owned)),
             (
                 "runcourse_shares_unsettled",
                 "owned shares whose tasks are not all located",
-                sum(not h.settled for h in node.shares.mine.values()),
+                sum(not h.settled for h in node.shares.owned.values()),
             ),
             (
                 "runcourse_tasks_waiting",
@@ -49,7 +49,7 @@
             (
                 "runcourse_machines_in_doubt",
                 "heard, but not shown to be reached",
-                sum(m.doubted and m.heard >= 0 for m in node.fleet.machines.values()),
+                sum(m.suspected and m.heard >= 0 for m in node.fleet.machines.values()),
             ),
             (
                 "runcourse_cancellations_unconfirmed",
--- a/tests/production.py
+++ b/tests/production.py
@@ -56,6 +56,22 @@
     }
 
 
+# What that version named otherwise: effects and their fields, and inputs.
+_EFFECTS = {
+    "Answer": "UserAnswer",
+    "AnswerBeat": "ReportAnswer",
+    "Extend": "ExtendLease",
+    "Grant": "GrantLease",
+    "Say": "SendToPeer",
+}
+_FIELDS = {"grant": "lease"}
+_INPUTS = {
+    "Cancel": "Withdraw",
+    "PeerMessageReceived": "PeerSaid",
+    "ReportReceived": "Beat",
+}
+
+
 class Former:
     """A node of that version among others: what goes in and comes out changes its type only."""
 
@@ -64,10 +80,17 @@
         assert found is not None
         self.types = found["types"]
         self.node = found["node"].Node(platform, operators, rng, now)
+        # Under its present name, for tests that look at nodes of either version.
+        self.node.shares.owned = self.node.shares.mine
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.node, name)
 
+    @staticmethod
+    def _former_name(event: Any) -> str:
+        name = type(event).__name__
+        return _INPUTS.get(name, name)
+
     def _report(self, report: Any) -> Any:
         # As its wire module reads a worker's words.
         tasks = tuple(
@@ -87,24 +110,25 @@
         from runcourse.wire import peer_messages
 
         values = {f: getattr(event, f) for f in event.__struct_fields__}
-        if isinstance(event, t.Beat):
+        if isinstance(event, t.ReportReceived):
             values["report"] = self._report(event.report)
-        if isinstance(event, t.PeerSaid):  # as lines: what it reads are plain maps
+        if isinstance(event, t.PeerMessageReceived):  # as lines: what it reads are plain maps
             values["message"] = json.loads(peer_messages.encode(event.message))
         if isinstance(event, t.Outcome) and isinstance(event.body, t.Report):
             values["body"] = self._report(event.body)
-        effects = self.node.handle(now, getattr(self.types, type(event).__name__)(**values))
+        effects = self.node.handle(now, getattr(self.types, self._former_name(event))(**values))
         return [self._effect(e) for e in effects]
 
     def _effect(self, effect: Any) -> Any:
         from runcourse.core import types as t
         from runcourse.wire import peer_messages
 
-        values = {f: getattr(effect, f) for f in effect.__struct_fields__}
+        values = {_FIELDS.get(f, f): getattr(effect, f) for f in effect.__struct_fields__}
         if isinstance(effect, self.types.Say):
             line = msgspec.json.encode(effect.message)
             values["message"] = peer_messages.decode(line)
-        return getattr(t, type(effect).__name__)(**values)
+        name = type(effect).__name__
+        return getattr(t, _EFFECTS.get(name, name))(**values)
 
 
 def story() -> dict[str, Any]:
@@ -128,7 +152,7 @@
         )
     )
     world.run(12.0)
-    world.withdraw("j-000003")
+    world.cancel("j-000003")
     world.run(3.0)
     return {
         "command": "python3 tests/production.py",
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from test_meetings import owner_of_job
+from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, FIVE, MEMBERS, World, spec
 
 from runcourse.core import types as t
@@ -79,7 +79,7 @@
     world.state.refusing.add(owner)
     apart(world, owner, taker)
     outage_at_cancellation(world)
-    world.withdraw(UID, taker)
+    world.cancel(UID, taker)
     assert world.state.down
     gone_in_time(world)
     if world.told[UID] == "cancelled":
@@ -92,7 +92,7 @@
     taker = next(m for m in members if m != owner)
     world.state.refusing.add(owner)
     apart(world, owner, taker)
-    assert world.withdraw(UID, taker) == "cancelled"
+    assert world.cancel(UID, taker) == "cancelled"
     world.crash(taker)
     world.state.outage(True)
     gone_in_time(world)
@@ -107,10 +107,10 @@
     apart(world, taker, *members)
     outage_at_cancellation(world)
     before = world.now
-    assert world.withdraw(UID, taker) == "?", "stored, but nobody else knows"
+    assert world.cancel(UID, taker) == "?", "stored, but nobody else knows"
     assert world.now - before < ANSWER_WITHIN_S + 0.5
     for _ in range(3):
-        assert world.withdraw(UID, taker) == "?" and world.poll(UID, taker) == "?"
+        assert world.cancel(UID, taker) == "?" and world.poll(UID, taker) == "?"
     # Once there is no hope the answer is given at once.
     world.run(4.0)
     before = world.now
@@ -129,7 +129,7 @@
     taker, knowing = [m for m in members if m != owner][:2]
     world.state.refusing.add(owner)
     apart(world, owner, taker)
-    assert world.withdraw(UID, taker) == "cancelled"
+    assert world.cancel(UID, taker) == "cancelled"
     world.state.outage(True)
     world.crash(knowing)
     world.crash(taker)
@@ -151,8 +151,8 @@
     apart(world, two, *members)
     outage_at_cancellation(world, 2)
     answers: list[Any] = []
-    world.ask("user", one, t.Withdraw(0, UID), answers.append)
-    world.ask("user", two, t.Withdraw(0, second), answers.append)
+    world.ask("user", one, t.Cancel(0, UID), answers.append)
+    world.ask("user", two, t.Cancel(0, second), answers.append)
     world.run(2.0)
     assert world.state.down and len(answers) == 2
     assert all(a.status == 503 for a in answers), "neither is known to enough nodes"
@@ -167,7 +167,7 @@
     taker, knowing = [m for m in members if m != owner][:2]
     world.state.refusing.update((owner, knowing))
     apart(world, owner, taker)
-    assert world.withdraw(UID, taker) == "cancelled"
+    assert world.cancel(UID, taker) == "cancelled"
     assert node_of(world, knowing).jobs.cancelled_since(Stamp(10**6)) == [UID]
     world.crash(taker)
     world.state.outage(True)
@@ -190,15 +190,19 @@
     node = node_of(world, taker)
     job = node.jobs.get(JobId(UID))
     assert job is not None
-    world.withdraw(UID, taker)
+    world.cancel(UID, taker)
     assert job.stage == "cancelled" and not node.confirmations.certain(job)
     for _ in range(3):
-        node.handle(world.now, t.PeerSaid(Member(other), CancellationAck(JobId(UID), owner=False)))
+        node.handle(
+            world.now,
+            t.PeerMessageReceived(Member(other), CancellationAck(JobId(UID), owner=False)),
+        )
     assert node.confirmations.certain(job) is (len(members) == 3)
     for member in members:
         if member not in (taker, owner, other):
             node.handle(
-                world.now, t.PeerSaid(Member(member), CancellationAck(JobId(UID), owner=False))
+                world.now,
+                t.PeerMessageReceived(Member(member), CancellationAck(JobId(UID), owner=False)),
             )
     assert node.confirmations.certain(job)
 
@@ -216,9 +220,9 @@
         if member != owner:
             for n in range(MOST_NEWS):
                 node.jobs.cancel(JobId(f"j-9{n:05d}"))
-    assert world.withdraw(UID, taker) == "cancelled"
+    assert world.cancel(UID, taker) == "cancelled"
     world.state.outage(True)
-    world.run(asked.authority.ttl + asked.authority.vouch_s + 1.0)
+    world.run(asked.authority.ttl + asked.authority.grant_s + 1.0)
     assert not asked.authority.entitled()
     gone_in_time(world)
     assert not world.on_machines()
@@ -233,12 +237,12 @@
     taker, reader = [m for m in members if m != owner][:2]
     apart(world, reader, *members)
     at_cancellation(world, lambda: setattr(world, "lose", 1.0))
-    assert world.withdraw(UID, taker) == "?"
+    assert world.cancel(UID, taker) == "?"
     world.lose = 0.0
     assert world.state.data[f"rc/job/{UID}"][0]["stage"] == "cancelled"
     world.run(0.5)
     assert world.poll(UID, reader) == "?", "read, but enough others aren't known to know"
-    assert world.withdraw(UID, reader) == "?"
+    assert world.cancel(UID, reader) == "?"
     assert world.submit(world.specs[UID], reader) == 503  # type: ignore[index]
     world.cut.clear()
     world.until(lambda: world.poll(UID, reader) == "cancelled", 5)
@@ -261,8 +265,8 @@
         {"owner": owner, "inc": node.authority.inc},
         Stamp(node.store.applied + 2),
     )
-    assert share in node.shares.mine and not node.shares.may_command(share)
-    assert any(isinstance(e, t.Follow) for e in node.cx.out) or node.store._waiters
+    assert share in node.shares.owned and not node.shares.may_command(share)
+    assert any(isinstance(e, t.Follow) for e in node.context.effects) or node.store._waiters
     node.store.applied = Stamp(node.store.applied + 2)
     assert node.shares.may_command(share)
 
@@ -272,16 +276,16 @@
     world, owner = running(members, UID, "j-000002", "j-000003")
     taker, away = [m for m in members if m != owner][:2]
     before = world.now
-    assert world.withdraw(UID, taker) == "cancelled" and world.now - before < 0.3
+    assert world.cancel(UID, taker) == "cancelled" and world.now - before < 0.3
     world.crash(away)
     world.run(8.0)
     before = world.now
-    assert world.withdraw("j-000002", taker) == "cancelled" and world.now - before < 0.3
+    assert world.cancel("j-000002", taker) == "cancelled" and world.now - before < 0.3
     # Alone with its own share: it commands, and it knows.
     for member in members:
         if member != owner and world.nodes[member] is not None:
             world.crash(member)
-    assert world.withdraw("j-000003", owner) == "cancelled"
+    assert world.cancel("j-000003", owner) == "cancelled"
     gone_in_time(world)
     assert not world.on_machines()
 
@@ -293,5 +297,5 @@
         node = node_of(world, "n0")
         quorum = node.confirmations.quorum
         others_without = len(members) - 1 - quorum
-        assert others_without < node.cx.majority - 1 <= others_without + 1
-        assert node.cx.now == Instant(0.0)
+        assert others_without < node.context.majority - 1 <= others_without + 1
+        assert node.context.now == Instant(0.0)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -32,20 +32,22 @@
 def test_a_list_that_goes_back_loses_no_machine() -> None:
     world = ready(machines=3)
     node = leader(world)
-    lag = node.cx.platform.settings.cloud.list_lag_s
-    began = node.cx.now
+    lag = node.context.platform.settings.cloud.list_lag_s
+    began = node.context.now
     node.rental.inventory._first_listed.clear()
     node.rental.inventory._listed(listed(world), began)
-    node.cx.out.clear()
+    node.context.effects.clear()
     node.rental.inventory._listed(listed(world)[1:], Instant(began + 2 * lag))
-    assert not [e for e in node.cx.out if isinstance(e, t.Commit)], "it may only be an old list"
+    assert not [e for e in node.context.effects if isinstance(e, t.Commit)], (
+        "it may only be an old list"
+    )
     gone = next(iter(world.workers))
 
     def dropped(at: float) -> list[str]:
         node.rental.inventory._listed(listed(world)[1:], Instant(at))
         return [
             k
-            for e in node.cx.out
+            for e in node.context.effects
             if isinstance(e, t.Commit)
             for k, v, _ in e.then
             if v == {"gone": True}
--- a/tests/test_nights.py
+++ b/tests/test_controller_outages.py
@@ -4,7 +4,7 @@
 
 import pytest
 from test_failures import ready
-from test_meetings import owner_of_job
+from test_faulty_jobs_and_late_writes import owner_of_job
 from world import FIVE, MEMBERS, World, spec
 
 from runcourse.core import types as t
@@ -34,7 +34,7 @@
         f"share {s}"
         for n in world.nodes.values()
         if n is not None
-        for s in n.shares.mine
+        for s in n.shares.owned
         if n.shares.may_command(s)
     )
 
@@ -52,7 +52,7 @@
     # Its teams are served meanwhile, and their cancellations kept.
     for n in range(4):
         assert world.submit(spec(f"j-00010{n}", tasks=2, team=f"team-{n}"), other) == 201
-    assert world.withdraw("j-000003", other) == "cancelled"
+    assert world.cancel("j-000003", other) == "cancelled"
     world.run(52.0)
     assert all(world.poll(f"j-00010{n}", other) == "done" for n in range(4))
     node = world.nodes[other]
@@ -198,12 +198,12 @@
     for n in range(400):
         for effect in node.handle(now + n / 1000, t.Poll(50_000 + n, "j-000500")):
             reads += isinstance(effect, t.Follow)
-            answers += isinstance(effect, t.Answer)
-            if isinstance(effect, t.Answer):
+            answers += isinstance(effect, t.UserAnswer)
+            if isinstance(effect, t.UserAnswer):
                 assert effect.status == 503 and effect.retry_after, "refused at once"
     assert reads <= 2, "state requests don't grow with polls"
     healthy = node.handle(now + 0.5, t.Health(60_000))
-    assert [e.status for e in healthy if isinstance(e, t.Answer)] == [200]
+    assert [e.status for e in healthy if isinstance(e, t.UserAnswer)] == [200]
 
 
 def test_a_small_job_costs_two_changes() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -32,7 +32,7 @@
     world = started()
     world.submit(spec("j-000002", service=True))
     world.until(lambda: len(world.on_machines()) == 2, 10)
-    assert world.withdraw("j-000002", "n1") == "cancelled"
+    assert world.cancel("j-000002", "n1") == "cancelled"
     world.until(lambda: not world.on_machines(), 3)
     assert world.poll("j-000002", "n2") == "cancelled"
     assert world.submit(spec("j-000002", service=True), "n2") == 200
@@ -44,7 +44,7 @@
     world = started()
     assert world.poll("j-999999") == "unknown"
     assert world.poll("not-an-id") == "unknown"
-    assert world.withdraw("j-999999") == "?"
+    assert world.cancel("j-999999") == "?"
 
 
 def test_a_team_keeps_to_its_limit() -> None:
@@ -103,7 +103,7 @@
     world.crash("n1")
     world.run(20.0)
     node = world.nodes["n2"]
-    assert node is not None and len(node.shares.mine) == 1
+    assert node is not None and len(node.shares.owned) == 1
 
 
 def test_running_tasks_survive_a_long_outage_of_the_state_service() -> None:
@@ -148,7 +148,7 @@
     world.run(2.5)
     world.cut.clear()
     world.until(lambda: len(world.on_machines()) == 1, 20)
-    world.withdraw("j-000050")
+    world.cancel("j-000050")
     world.until(lambda: not world.on_machines(), 5)
     world.run(3.0)
     world.deliver_held()
@@ -216,10 +216,10 @@
     world.crash(str(owner))
     world.until(lambda: _no_owner(world, asker, share), 10)
     at = world.now
-    assert world.withdraw("j-000100", asker) == "?"
+    assert world.cancel("j-000100", asker) == "?"
     assert world.now - at < 1.0
     world.run(8.0)
-    assert world.withdraw("j-000100", asker) == "cancelled"
+    assert world.cancel("j-000100", asker) == "cancelled"
     world.run(5.0)
     assert not world.on_machines() and not world.broken
 
@@ -253,7 +253,7 @@
         world.start(member)
     world.run(6.0)
     node = world.nodes["n0"]
-    assert node is not None and node.shares.mine
+    assert node is not None and node.shares.owned
     assert "rc/mapping" not in world.state.data
     assert all(
         node.shares.of_team(Team(name)) == zlib.crc32(name.encode()) % 3
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -206,7 +206,7 @@
         def late(now: float, event: Any) -> list[Any]:
             effects = handle(now, event)
             for effect in effects:
-                if isinstance(effect, t.Answer | t.AnswerBeat | t.Command):
+                if isinstance(effect, t.UserAnswer | t.ReportAnswer | t.Command):
                     effect.until = past
             return effects
 
@@ -218,11 +218,11 @@
         assert (await service.ask("POST", "/agent/beat", worker.report()))[0] == 503
         baton = worker.baton
         machine = next(iter(node.fleet.machines.values()))
-        node.fleet.doubt(machine)  # raises the token; a command would tell the worker
+        node.fleet.suspect(machine)  # raises the token; a command would tell the worker
         async with asyncio.timeout(10):
-            while machine.do_after <= node.cx.now - 0.5 or machine.do_open:
+            while machine.do_after <= node.context.now - 0.5 or machine.do_open:
                 await asyncio.sleep(0.02)
-        assert machine.doubted and worker.baton == baton
+        assert machine.suspected and worker.baton == baton
 
     play(tmp_path, story)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -129,10 +129,10 @@
 
 def test_fetches_under_way_share_the_rate() -> None:
     """A replica once waited 113 s on a machine that fetched nine images."""
-    cx = context()
+    shared = context()
     machine = bare_machine()
     scheduler = Scheduler.__new__(Scheduler)
-    scheduler.cx = cx
+    scheduler.context = shared
     job = Job(spec("j-000001", image="one", image_gb=1.0), 1)  # type: ignore[arg-type]
     other = Job(spec("j-000002", image="two", image_gb=3.0), 1)  # type: ignore[arg-type]
     assert fetch_s(job, machine) == 1.0
@@ -155,7 +155,7 @@
     assert node is not None
     scheduler = node.scheduler
     scheduler.order._lateness["x"] = (Objective("deadline", "x", 0.9, 1.0).times or 1.0, 1.5)
-    now = node.cx.now
+    now = node.context.now
 
     def work(uid: str, due: float) -> Work:
         job = Job(spec(uid, deadline_s=due, estimate_s=10.0, team="team-0"), 1)  # type: ignore[arg-type]
@@ -194,7 +194,7 @@
         world.submit(spec(f"j-00004{n}", service=True, tasks=1, cpus=1.0, memory=1.0))
     world.run(10.0)
     for n in range(6):
-        world.withdraw(f"j-00004{n}")
+        world.cancel(f"j-00004{n}")
     world.run(120.0)
     assert len(world.workers) <= 3
     assert len(world.on_machines()) == 2 and not world.broken
@@ -230,7 +230,7 @@
     machine.do_open = True
     assert not cleared()
     machine.do_open = False
-    machine.doubt_reach(world.now)  # type: ignore[arg-type]
+    machine.mark_suspected(world.now)  # type: ignore[arg-type]
     assert not cleared()
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -30,8 +30,8 @@
         work.finished |= bits
         node.scheduler.finishes.store_some(work, complete=False)
         node.store._flush()
-        commit = next(e for e in node.cx.out if isinstance(e, t.Commit))
-        node.cx.out.clear()
+        commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
+        node.context.effects.clear()
         return commit
 
     first, newer = flush(1), flush(2)
@@ -62,7 +62,7 @@
     world.cut.add(frozenset((owner, taker)))
     world.state.refusing.add(owner)
     world.run(0.2)
-    assert world.withdraw("j-000003", taker) == "cancelled"
+    assert world.cancel("j-000003", taker) == "cancelled"
     world.run(0.4)
     world.state.outage(True)
     world.run(CANCEL_S + 5.0)
@@ -83,10 +83,12 @@
         assert world.submit(spec(uid, tasks=8, team=f"team-{n}", image="bad")) == 201
     world.run(10.0)
     nodes = [n for n in world.nodes.values() if n is not None]
-    assert all(n.cx.now >= m.quarantined_until for n in nodes for m in n.fleet.machines.values())
+    assert all(
+        n.context.now >= m.quarantined_until for n in nodes for m in n.fleet.machines.values()
+    )
     for node in nodes:
         for work in node.scheduler.work.values():
-            assert work.mistaken and work.waits == "fails wherever it starts"
+            assert work.mistaken and work.wait_reason == "fails wherever it starts"
         assert not any(node.scheduler.unmet.values()), "nothing is hired for them"
     tries = len(world.starts)
     world.run(30.0)
@@ -95,7 +97,7 @@
     world.submit(spec("j-000110", tasks=9, team="team-0", estimate_s=1.0))
     world.until(lambda: world.poll("j-000110") == "done", 8)
     for n in range(4):
-        assert world.withdraw(f"j-00010{n}") == "cancelled"
+        assert world.cancel(f"j-00010{n}") == "cancelled"
     tries = len(world.starts)
     world.run(60.0)
     assert len(world.starts) == tries and not world.broken
@@ -117,7 +119,7 @@
         for node in world.nodes.values()
         if node is not None
         for m in node.fleet.machines.values()
-        if node.cx.now < m.quarantined_until
+        if node.context.now < m.quarantined_until
     }
     assert aside == {"i-000002"}
     for n in range(4):
@@ -155,7 +157,7 @@
     work.errors.update({"i-1": 1, "i-2": 1})  # type: ignore[dict-item]
     machine = next(m for m in node.fleet.of_share(work.share) if m.placements)
     placement = next(p for p in machine.placements.values() if p.active)
-    placement.ran_since = Instant(node.cx.now - 0.5)
+    placement.ran_since = Instant(node.context.now - 0.5)
     node.scheduler.failures.failed(work, placement)
     assert not work.mistaken
 
@@ -202,10 +204,10 @@
         < 48 * 1024
     )
     node.fleet.pace(machine)
-    assert machine.do_after >= node.cx.now + 1.0
+    assert machine.do_after >= node.context.now + 1.0
     quick = next(m for m in node.fleet.machines.values() if m is not machine)
     node.fleet.pace(quick)
-    assert quick.do_after <= node.cx.now
+    assert quick.do_after <= node.context.now
 
 
 def test_one_team_s_flood_leaves_room_for_the_submissions_of_others() -> None:
@@ -214,8 +216,8 @@
     for n in range(400):
         team, request = ("team-1", 10_000) if n % 20 == 19 else ("team-0", 0)
         job = spec(f"j-{n + 600:06d}", team=team)
-        for effect in node.handle(node.cx.now, t.Submit(request + n, job.uid, job)):
-            if isinstance(effect, t.Answer):
+        for effect in node.handle(node.context.now, t.Submit(request + n, job.uid, job)):
+            if isinstance(effect, t.UserAnswer):
                 assert effect.status == 429 and effect.retry_after
                 if effect.request < 10_000:
                     flooded += 1
