--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 import pytest
-from test_meetings import owner_of_job
+from test_faulty_jobs_and_late_writes import owner_of_job
 from test_two_troubles import calm, end_of, leader, send, submit
 from world import CANCEL_S, FIVE, GANG_PEER_S, GANG_WAIT_S, LEASE_S, MEMBERS, Worker, World, spec
 
 from runcourse.core import types as t
+from runcourse.core.demand import LoadReport, share_load
 from runcourse.core.machine import Placement
-from runcourse.core.needs import Load, load_of
 from runcourse.core.node import Node
 from runcourse.core.work import Work
 
@@ -88,7 +88,7 @@
     world.submit(gang())
     world.run(3.0)
     assert not world.starts
-    assert work_of(world).waits == "no room for the whole gang"
+    assert work_of(world).wait_reason == "no room for the whole gang"
     world.submit(spec("j-000002", tasks=2, team="team-1"))
     world.until(lambda: world.poll("j-000002") == "done", 10)
     assert not [x for _, x, _ in world.starts if x.job == UID]
@@ -112,7 +112,7 @@
     world.run(6.0)
     world.submit(gang(tasks=4, together=False, spread=True))
     world.run(8.0)
-    assert not world.starts and work_of(world).waits == "no room for the whole gang"
+    assert not world.starts and work_of(world).wait_reason == "no room for the whole gang"
 
 
 def test_the_zone_whose_slowest_image_is_there_soonest() -> None:
@@ -130,7 +130,7 @@
     return next(
         n
         for n in world.nodes.values()
-        if n is not None and n.shares.of_team("team-1") in n.shares.mine
+        if n is not None and n.shares.of_team("team-1") in n.shares.owned
     )  # type: ignore[arg-type]
 
 
@@ -141,7 +141,7 @@
     world.run(2.0)
     world.submit(gang(tasks=4))
     world.run(2.0)
-    assert not machines_of(world) and work_of(world).waits == "team limit"
+    assert not machines_of(world) and work_of(world).wait_reason == "team limit"
     world.until(lambda: UID in world.running_gangs(), 15)
     assert not world.broken
 
@@ -161,8 +161,8 @@
     world.submit(gang(tasks=6))
     world.run(1.0)
     share = node.shares.of_team("team-1")  # type: ignore[arg-type]
-    load = load_of(node.cx, share, node.fleet, node.scheduler)
-    (need,) = Load(load, node.cx.now).needs
+    load = share_load(node.context, share, node.fleet, node.scheduler)
+    (need,) = LoadReport(load, node.context.now).demands
     assert need.block and need.hire == 6 and sum(need.room.values()) >= 2
     (zone,) = [z for z, n in need.room.items() if n == max(need.room.values())][:1]
     other, third = sorted({"a", "b", "c"} - {zone})
@@ -253,9 +253,9 @@
     node.fleet._listed(
         placement.machine, t.TaskReport(placement.task, placement.attempt, "ended", "incomplete")
     )
-    assert work.ending and work.not_before > node.cx.now and work.incomplete == 1
-    assert any(isinstance(e, t.Log) and "not there" in e.text for e in node.cx.out)
-    assert not any(node.cx.now < m.quarantined_until for m in node.fleet.machines.values())
+    assert work.ending and work.not_before > node.context.now and work.incomplete == 1
+    assert any(isinstance(e, t.Log) and "not there" in e.text for e in node.context.effects)
+    assert not any(node.context.now < m.quarantined_until for m in node.fleet.machines.values())
     assert not work.errors and not work.mistaken
 
 
@@ -376,14 +376,14 @@
     assert not first.active
     assert all(p.grace_s == 1.0 and not p.forced for p in members[1:])
     # A cancellation has no time for that.
-    world.withdraw(UID)
+    world.cancel(UID)
     assert all(p.grace_s == 0.0 and p.forced for p in members[1:] if p.active)
     calm(world)
 
 
 def test_one_that_cannot_be_told_makes_the_stop_a_plain_one() -> None:
     world, node, members = after(6.5)
-    node.fleet.doubt(members[0].machine)
+    node.fleet.suspect(members[0].machine)
     node.scheduler.gangs.stop(members[0])
     assert {p.grace_s for p in node.fleet.of_job(UID)} == {0.0}  # type: ignore[arg-type]
     world.run(3.0)
@@ -405,7 +405,7 @@
     first = next(iter(world.gangs.values()))
     assert first.over and world.progress[UID] > 4.0, "all of it, with what it had done"
     assert len({id(w) for w in machines_of(world)}) <= 1, "it may go on elsewhere, as a whole"
-    assert world.withdraw("j-000021") == "cancelled"
+    assert world.cancel("j-000021") == "cancelled"
     world.until(lambda: runs(world) == 2, 20)
     assert not world.broken
 
@@ -449,7 +449,7 @@
         cut = machines_of(world)[0]
         world.cut.update(frozenset((cut.id, m)) for m in members)
     for k in range(6):
-        send(world, members[k % len(members)], t.Withdraw(0, UID))
+        send(world, members[k % len(members)], t.Cancel(0, UID))
         world.run(0.5)
     world.run(CANCEL_S)
     assert world.told[UID] == "cancelled" and not machines_of(world)
@@ -499,7 +499,7 @@
 
 @BOTH
 def test_copies_of_reports_of_an_old_attempt_change_nothing(members: tuple[str, ...]) -> None:
-    from test_troubles import again, capture
+    from test_partial_failures import again, capture
 
     world = running(members, estimate_s=25.0)
     seen = capture(world)
@@ -544,6 +544,6 @@
     assert tries >= 2
     world.run(40.0)
     assert runs(world) - tries <= 3
-    assert world.withdraw(UID) == "cancelled"
+    assert world.cancel(UID) == "cancelled"
     world.run(CANCEL_S + 2.0)
     assert not machines_of(world) and not world.broken
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -38,10 +38,10 @@
     node, machine = owner_of_some(ready())
     task = TaskId(spec("j-000001").uid, 0)  # type: ignore[arg-type]
     running = t.TaskReport(task, Attempt(7), "running")
-    assert node.fleet.hear(message(machine, machine.session, machine.seq + 5, running))
+    assert node.fleet.apply_report(message(machine, machine.session, machine.seq + 5, running))
     assert task in node.fleet.where
-    assert not node.fleet.hear(message(machine, machine.session, machine.seq - 1))
-    assert not node.fleet.hear(message(machine, machine.session - 1, 999))
+    assert not node.fleet.apply_report(message(machine, machine.session, machine.seq - 1))
+    assert not node.fleet.apply_report(message(machine, machine.session - 1, 999))
     assert task in node.fleet.where
 
 
@@ -51,15 +51,15 @@
     node.fleet.place(job, 0, machine, machine.share.next_attempt())
     before = machine.token
     node.fleet.push()
-    command = next(e for e in node.cx.out if isinstance(e, t.Command))
-    node.handle(node.cx.now, t.Outcome(command.tag, 0, None, sent=True))
-    assert machine.token > before and machine.doubted and machine.doubt == machine.token
+    command = next(e for e in node.context.effects if isinstance(e, t.Command))
+    node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=True))
+    assert machine.token > before and machine.suspected and machine.suspect_token == machine.token
     surely_lost = machine.token
-    machine.do_after = node.cx.now
+    machine.do_after = node.context.now
     node.fleet._dirty[machine.id] = None
     node.fleet.push()
-    command = next(e for e in reversed(node.cx.out) if isinstance(e, t.Command))
-    node.handle(node.cx.now, t.Outcome(command.tag, 0, None, sent=False))
+    command = next(e for e in reversed(node.context.effects) if isinstance(e, t.Command))
+    node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
     assert machine.token == surely_lost, "what never left needs no fence"
 
 
@@ -111,7 +111,7 @@
     assert node is not None and not node.authority.entitled()
     answers = []
     for machine in list(node.fleet.machines.values()):
-        world.ask(machine.id, "n0", t.Beat(0, message(machine, 9, 1)), answers.append)
+        world.ask(machine.id, "n0", t.ReportReceived(0, message(machine, 9, 1)), answers.append)
     world.run(0.2)
     assert all(a.status == 503 for a in answers)
 
@@ -123,7 +123,7 @@
     world.until(lambda: len(world.on_machines()) == 2, 10)
     node = next(n for n in world.nodes.values() if n is not None and n.scheduler.work)
     holding = next(
-        h for h in node.shares.mine.values() if h.number == node.shares.of_team("team-0")
+        h for h in node.shares.owned.values() if h.number == node.shares.of_team("team-0")
     )  # type: ignore[arg-type]
     # As after a takeover: nothing is located yet.
     holding.settled = False
@@ -147,7 +147,7 @@
     work.pending = {}
     node.scheduler._turn(holding)
     assert TaskId(later.uid, 0) in node.fleet.where, [
-        (m.id, m.room, node.fleet.usable(m), node.scheduler.work[later.uid].waits)
+        (m.id, m.room, node.fleet.usable(m), node.scheduler.work[later.uid].wait_reason)
         for m in node.fleet.of_share(holding.number)
     ]
 
@@ -161,7 +161,7 @@
     world.until(lambda: len(world.on_machines()) == 3, 10)
     node = next(n for n in world.nodes.values() if n is not None and n.scheduler.work)
     number = node.shares.of_team("team-0")  # type: ignore[arg-type]
-    holding = node.shares.mine[number]
+    holding = node.shares.owned[number]
     for placement in list(node.fleet.placements(number)):
         node.fleet._remove(placement, "share lost")
     holding.settled = False
@@ -181,32 +181,34 @@
     assert unlocated() == 6.0
     hiding[0].settled = True
     assert unlocated() == 4.0, "no more than the other machine holds"
-    node.cx.now = Instant(node.cx.now + 21.0)
+    node.context.now = Instant(node.context.now + 21.0)
     node.scheduler.tick()
     assert unlocated() == 0.0, "by then they are gone"
 
 
 def test_one_failure_amid_successes_is_no_reason_to_vouch() -> None:
     node = owner_of_some(ready())[0]
-    other = next(m for m in node.cx.members if m != node.cx.me)
+    other = next(m for m in node.context.members if m != node.context.me)
     inc = node.authority.live_inc(other)
 
     def vouches() -> bool:
         said = node.handle(
-            node.cx.now,
-            t.PeerSaid(other, GrantRequest(Incarnation(str(inc)), 1, node.store.applied)),
+            node.context.now,
+            t.PeerMessageReceived(
+                other, GrantRequest(Incarnation(str(inc)), 1, node.store.applied)
+            ),
         )
         return any(
-            isinstance(e, t.Say) and isinstance(e.message, GrantResponse) and e.message.ok
+            isinstance(e, t.SendToPeer) and isinstance(e.message, GrantResponse) and e.message.ok
             for e in said
         )
 
     node.store.failing = True
-    node.store.failed_at = node.cx.now
-    node.store.last_contact = Instant(node.cx.now - 0.5)
+    node.store.failed_at = node.context.now
+    node.store.last_contact = Instant(node.context.now - 0.5)
     assert not vouches()
-    node.store.last_contact = Instant(node.cx.now - 1.5)
+    node.store.last_contact = Instant(node.context.now - 1.5)
     assert vouches()
     # Nor is one before this process stood still.
-    node.store.failed_at = Instant(node.cx.now - 5.0)
+    node.store.failed_at = Instant(node.context.now - 5.0)
     assert not vouches()
--- a/tests/test_troubles.py
+++ b/tests/test_partial_failures.py
@@ -28,7 +28,7 @@
     feed = world.feed
 
     def noting(member: str, event: Any) -> None:
-        if isinstance(event, t.Beat) and event.relayed_by is None:
+        if isinstance(event, t.ReportReceived) and event.relayed_by is None:
             seen.append((member, event.report))
         feed(member, event)
 
@@ -37,7 +37,7 @@
 
 
 def again(world: World, member: str, report: t.Report) -> None:
-    world.feed(member, t.Beat(-1, report))
+    world.feed(member, t.ReportReceived(-1, report))
 
 
 # --- known jobs --------------------------------------------------------------------------
@@ -75,7 +75,7 @@
     world.run(3.0)
     for member in world.members:
         assert all(world.poll(f"j-00010{n}", member) != "?" for n in range(6))
-    assert world.withdraw("j-000100") == "cancelled" and not world.broken
+    assert world.cancel("j-000100") == "cancelled" and not world.broken
 
 
 # --- served ------------------------------------------------------------------------------
@@ -130,8 +130,8 @@
     node, _ = owner_of(world, worker.id)
     world.deaf.add(worker.id)
     if restarts:
-        world.crash(node.cx.me)
-        world.start(node.cx.me)
+        world.crash(node.context.me)
+        world.start(node.context.me)
     since = world.now
     world.until(
         lambda: (
@@ -156,7 +156,7 @@
     world.until(lambda: len(world.on_machines()) == 2, 10)
     for worker in world.workers.values():
         world.deaf.add(worker.id)
-    world.withdraw("j-000410")
+    world.cancel("j-000410")
     world.submit(spec("j-000411", service=True, tasks=2))
     world.run(CANCEL_S + 10.0)
     assert not world.broken, "no limit broken by what may still run, none after the cancellation"
@@ -166,7 +166,7 @@
     world = ready(machines=1, lease_s=12.0)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.deaf.add(machine.id)
-    node.fleet.doubt(machine)
+    node.fleet.suspect(machine)
     world.run(0.9)
     assert node.fleet.silent_s(machine) < 1.3
     assert not node.fleet.usable(machine), "heard is not reached"
@@ -193,14 +193,14 @@
     )
 
     def status(seq: int) -> int:
-        out = node.handle(node.cx.now, t.Beat(1, report._replace(seq=seq)))
-        return next(e.status for e in out if isinstance(e, t.AnswerBeat))
+        out = node.handle(node.context.now, t.ReportReceived(1, report._replace(seq=seq)))
+        return next(e.status for e in out if isinstance(e, t.ReportAnswer))
 
     world.run(3.0)
     report = report._replace(seq=machine.seq + 1)
-    node.fleet.doubt(machine)
+    node.fleet.suspect(machine)
     assert status(report.seq) == 200, "for a while"
-    machine.doubted_at = Instant(node.cx.now - node.fleet.patience() - 0.1)
+    machine.suspected_at = Instant(node.context.now - node.fleet.silence_limit_s() - 0.1)
     answered = machine.last_answer
     assert status(report.seq + 1) == 503 and machine.last_answer == answered
 
@@ -212,7 +212,7 @@
     assert node.fleet.usable(machine)
     world.deaf.add(machine.id)
     world.submit(spec("j-000430", tasks=1))
-    world.until(lambda: machine.doubted, 6)
+    world.until(lambda: machine.suspected, 6)
 
 
 # --- copies ------------------------------------------------------------------------------
@@ -224,7 +224,7 @@
     world.run(4.0)
     seen = capture(world)
     world.run(3.0)
-    member, report = next((m, r) for m, r in seen if owner_of(world, r.machine)[0].cx.me == m)
+    member, report = next((m, r) for m, r in seen if owner_of(world, r.machine)[0].context.me == m)
     node, machine = owner_of(world, report.machine)
     world.workers[report.machine].alive = False
     world.run(4.0)
@@ -247,14 +247,14 @@
     _, report = seen[-1]
     node, _ = owner_of(world, report.machine)
     world.workers[report.machine].alive = False
-    world.crash(node.cx.me)
-    world.start(node.cx.me)
-    world.until(lambda: report.machine in world.nodes[node.cx.me].fleet.machines, 3)  # type: ignore[union-attr]
-    again(world, node.cx.me, report)
+    world.crash(node.context.me)
+    world.start(node.context.me)
+    world.until(lambda: report.machine in world.nodes[node.context.me].fleet.machines, 3)  # type: ignore[union-attr]
+    again(world, node.context.me, report)
     node, machine = owner_of(world, report.machine)
     assert not machine.settled and not node.fleet.usable(machine)
     world.run(1.0)
-    again(world, node.cx.me, report)
+    again(world, node.context.me, report)
     assert not node.fleet.usable(machine)
     world.run(25.0)
     assert report.machine not in world.workers, "returned like any silent machine"
@@ -345,12 +345,12 @@
     node, machine = owner_of(world, id)
     worker = world.workers[id]
     report = worker.report()
-    node.fleet.hear(worker.report(), machine.known)
-    answers: list[t.AnswerBeat] = []
-    world.ask(id, node.cx.me, t.Beat(0, report), answers.append)
+    node.fleet.apply_report(worker.report(), machine.known)
+    answers: list[t.ReportAnswer] = []
+    world.ask(id, node.context.me, t.ReportReceived(0, report), answers.append)
     world.run(0.1)
     assert answers[0].status == 200 and not answers[0].orders
-    world.ask(id, node.cx.me, t.Beat(0, report), answers.append)
+    world.ask(id, node.context.me, t.ReportReceived(0, report), answers.append)
     world.run(0.1)
     assert answers[1].status == 503, "a copy of it is not"
 
@@ -370,11 +370,11 @@
         world.cut.add(frozenset(("n0", other)))
     node = world.nodes["n0"]
     assert node is not None
-    shares = set(node.shares.mine)
+    shares = set(node.shares.owned)
     assert shares
-    world.run(node.authority.ttl + node.authority.vouch_s + 0.5)
+    world.run(node.authority.ttl + node.authority.grant_s + 0.5)
     assert not node.authority.entitled()
-    health = [e for e in node.handle(world.now, t.Health(1)) if isinstance(e, t.Answer)]
+    health = [e for e in node.handle(world.now, t.Health(1)) if isinstance(e, t.UserAnswer)]
     assert health[0].status == 503, "the others can be assumed to serve"
     other = world.nodes[members[1]]
     assert other is not None
@@ -383,7 +383,7 @@
     assert len(world.on_machines()) == 4
     world.cut.clear()
     world.run(20.0)
-    assert world.nodes["n0"].shares.mine, "its share is given back"  # type: ignore[union-attr]
+    assert world.nodes["n0"].shares.owned, "its share is given back"  # type: ignore[union-attr]
     assert len(world.on_machines()) == 4 and not world.broken
 
 
@@ -459,8 +459,8 @@
 def test_patience_lies_between_a_lost_report_and_the_lease() -> None:
     world = ready()
     fleet: Fleet = world.nodes["n0"].fleet  # type: ignore[union-attr]
-    assert 2.5 <= fleet.patience() < LEASE_S
-    assert fleet.cx.now >= Instant(0.0)
+    assert 2.5 <= fleet.silence_limit_s() < LEASE_S
+    assert fleet.context.now >= Instant(0.0)
 
 
 def test_a_new_session_has_its_whole_lease_whatever_was_answered_before() -> None:
@@ -469,7 +469,7 @@
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     since = machine.known
-    machine.last_answer = Instant(node.cx.now - node.cx.lease_s + 0.1)
+    machine.last_answer = Instant(node.context.now - node.context.lease_s + 0.1)
     live = t.Report(
         machine.id,
         machine.addr,
@@ -482,10 +482,10 @@
         None,
         (),
     )
-    assert node.fleet.hear(live, since)
+    assert node.fleet.apply_report(live, since)
     job = Job(spec("j-000810"), 1)  # type: ignore[arg-type]
     placement = node.fleet.place(job, 0, machine, machine.share.next_attempt())
-    node.cx.now = Instant(node.cx.now + 1.0)
+    node.context.now = Instant(node.context.now + 1.0)
     node.fleet.tick()
     assert placement.active
 
@@ -497,9 +497,9 @@
     job = Job(spec("j-000800"), 1)  # type: ignore[arg-type]
     node.fleet.place(job, 0, machine, machine.share.next_attempt())
     assert node.fleet.orders(machine, answering=True)
-    assert not machine.doubted
+    assert not machine.suspected
     token, number = machine.token_seen, machine.seq + 1
-    node.fleet.hear(
+    node.fleet.apply_report(
         t.Report(
             machine.id,
             machine.addr,
@@ -513,7 +513,7 @@
             (),
         )
     )
-    assert machine.doubted and not node.fleet.usable(machine)
+    assert machine.suspected and not node.fleet.usable(machine)
 
 
 def test_a_copy_right_after_a_restart_of_the_worker_is_not_believed() -> None:
@@ -534,9 +534,9 @@
     )
     since = machine.known
     live = old._replace(session=Session(1), seq=0, token=Token(0))
-    assert node.fleet.hear(live, since)
-    assert machine.session == 1 and machine.doubted
-    assert not node.fleet.hear(old)
+    assert node.fleet.apply_report(live, since)
+    assert machine.session == 1 and machine.suspected
+    assert not node.fleet.apply_report(old)
     assert machine.session == 1
 
 
@@ -545,8 +545,8 @@
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
-    assert not machine.doubted
-    node.fleet.hear(
+    assert not machine.suspected
+    node.fleet.apply_report(
         t.Report(
             machine.id,
             machine.addr,
@@ -560,7 +560,7 @@
             (),
         )
     )
-    assert machine.doubted and not node.fleet.usable(machine)
+    assert machine.suspected and not node.fleet.usable(machine)
 
 
 def test_a_start_that_never_left_is_taken_back_at_once() -> None:
@@ -569,17 +569,17 @@
     world.run(2.0)
     job = Job(spec("j-000820"), 1)  # type: ignore[arg-type]
     placement = node.fleet.place(job, 0, machine, machine.share.next_attempt())
-    node.cx.out.clear()
+    node.context.effects.clear()
     node.fleet.push()
-    command = next(e for e in node.cx.out if isinstance(e, t.Command))
-    node.handle(node.cx.now, t.Outcome(command.tag, 0, None, sent=False))
+    command = next(e for e in node.context.effects if isinstance(e, t.Command))
+    node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
     assert not placement.active and placement.task not in node.fleet.where
     # One that an answer has carried meanwhile may be there.
-    node.cx.now = Instant(node.cx.now + 1.1)
+    node.context.now = Instant(node.context.now + 1.1)
     other = node.fleet.place(job, 1, machine, machine.share.next_attempt())
-    node.cx.out.clear()
+    node.context.effects.clear()
     node.fleet.push()
-    command = next(e for e in node.cx.out if isinstance(e, t.Command))
+    command = next(e for e in node.context.effects if isinstance(e, t.Command))
     node.fleet.orders(machine, answering=True)
-    node.handle(node.cx.now, t.Outcome(command.tag, 0, None, sent=False))
+    node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
     assert other.active
--- a/tests/test_pauses.py
+++ b/tests/test_process_pauses.py
@@ -5,7 +5,7 @@
 
 import pytest
 from test_failures import ready
-from test_troubles import BOTH, owner_of
+from test_partial_failures import BOTH, owner_of
 from world import LEASE_S, World, spec
 
 from runcourse.core import types as t
@@ -19,7 +19,7 @@
     world.run(4.0)
     world.submit(spec("j-000500", service=True, tasks=2))
     world.until(lambda: len(world.on_machines()) == 2, 10)
-    return world, owner_of(world, world.on_machines()[0][1].id)[0].cx.me
+    return world, owner_of(world, world.on_machines()[0][1].id)[0].context.me
 
 
 @BOTH
@@ -33,11 +33,11 @@
     getattr(world, kind)(owner, seconds)
     world.submit(spec("j-000501", tasks=3), other)
     world.run(seconds / 2)
-    if world.withdraw("j-000500", other) == "cancelled":
+    if world.cancel("j-000500", other) == "cancelled":
         world.run(seconds / 2 + 1.0)
     world.run(4.0)
     world.until(lambda: world.poll("j-000501", other) == "done", 4 * LEASE_S)
-    world.until(lambda: world.withdraw("j-000500", owner) == "cancelled", 10)
+    world.until(lambda: world.cancel("j-000500", owner) == "cancelled", 10)
     world.until(lambda: not world.on_machines(), 4 * LEASE_S)
     assert not world.broken
 
@@ -49,17 +49,17 @@
     world, owner = with_service(members)
     node = world.nodes[owner]
     assert node is not None
-    shares = set(node.shares.mine)
+    shares = set(node.shares.owned)
     world.freeze(owner, 12.0)
     world.run(11.0)
     taken = {
-        s for m, n in world.nodes.items() if n is not None and m != owner for s in n.shares.mine
+        s for m, n in world.nodes.items() if n is not None and m != owner for s in n.shares.owned
     }
     assert shares <= taken
     # Before any input tells of it: it concludes nothing about leases that another renewed.
     held = list(node.fleet.where)
     node.fleet._looked_at = Instant(0.0)
-    node.cx.now = Instant(world.now)
+    node.context.now = Instant(world.now)
     node.fleet.tick()
     assert held and list(node.fleet.where) == held
     # What its worker reports is not answered, nothing is sent.
@@ -67,9 +67,9 @@
     for machine in list(node.fleet.machines.values()):
         node.fleet._dirty[machine.id] = None
         report = world.workers[machine.id].report()
-        effects = node.handle(world.now, t.Beat(-1, report))
+        effects = node.handle(world.now, t.ReportReceived(-1, report))
         assert not any(isinstance(e, t.Command) for e in effects)
-        assert all(e.status == 503 for e in effects if isinstance(e, t.AnswerBeat))
+        assert all(e.status == 503 for e in effects if isinstance(e, t.ReportAnswer))
 
 
 def test_a_read_answered_before_a_pause_proves_nothing_after_it() -> None:
@@ -79,13 +79,15 @@
     for pause, expected in ((0.1, True), (FRESH_S + 0.1, False)):
         store._reading = False
         store._read_began = Instant(0.0)
-        store.cx.out.clear()
+        store.context.effects.clear()
         store.sync(heard.append)
-        read = next(e for e in store.cx.out if isinstance(e, t.Follow))
-        store.cx.now = Instant(store.cx.now + pause)
-        read.tag(t.Outcome(read.tag, 200, ([], int(store.applied)), began=store.cx.now - pause))
+        read = next(e for e in store.context.effects if isinstance(e, t.Follow))
+        store.context.now = Instant(store.context.now + pause)
+        read.tag(
+            t.Outcome(read.tag, 200, ([], int(store.applied)), began=store.context.now - pause)
+        )
         assert heard.pop() is expected
-        assert (store.cx.now < store.fresh_until) is expected
+        assert (store.context.now < store.fresh_until) is expected
 
 
 def test_what_rests_on_authority_or_a_read_says_until_when_it_may_leave() -> None:
@@ -95,12 +97,14 @@
         assert node is not None
         for machine in list(node.fleet.machines.values()):
             report = world.workers[machine.id].report()
-            beaten = next(
-                e for e in node.handle(world.now, t.Beat(-1, report)) if isinstance(e, t.AnswerBeat)
+            note_route = next(
+                e
+                for e in node.handle(world.now, t.ReportReceived(-1, report))
+                if isinstance(e, t.ReportAnswer)
             )
-            assert beaten.status == 200
-            assert beaten.until == node.authority.end() < world.now + node.authority.ttl
-        seen: list[t.Answer] = []
+            assert note_route.status == 200
+            assert note_route.until == node.authority.end() < world.now + node.authority.ttl
+        seen: list[t.UserAnswer] = []
         world.ask("user", member, t.Poll(0, "j-000502"), seen.append)
         world.run(1.0)
         assert seen[0].status == 200 and seen[0].until <= world.now + FRESH_S
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -69,7 +69,7 @@
             for _, report in kept:
                 for m in world.members:
                     if world.nodes[m] is not None:
-                        world.feed(m, t.Beat(-1, report))
+                        world.feed(m, t.ReportReceived(-1, report))
         else:
             world.after(0.3, lambda: look(left - 1))
 
@@ -116,7 +116,7 @@
                 if work.job.spec.gang and placements and node.shares.may_command(work.share):
                     node.scheduler.gangs.stop(placements[pick % len(placements)])
     elif action == "cancel" and world.told:
-        world.withdraw(sorted(world.told)[pick % len(world.told)], member)
+        world.cancel(sorted(world.told)[pick % len(world.told)], member)
     elif action == "poll" and world.told:
         world.poll(sorted(world.told)[pick % len(world.told)], member)
     elif action in ("crash", "blink"):
@@ -209,7 +209,7 @@
             world.after(
                 0.01 * k,
                 lambda m=m, job=job: send(  # type: ignore[misc]
-                    world, m, t.Withdraw(0, job)
+                    world, m, t.Cancel(0, job)
                 ),
             )
     elif action == "cancel_handover":  # while one node's work goes to others and comes back
@@ -220,7 +220,7 @@
             world.after(
                 0.4 * k,
                 lambda k=k, job=job: send(  # type: ignore[misc]
-                    world, members[(pick + k) % len(members)], t.Withdraw(0, job)
+                    world, members[(pick + k) % len(members)], t.Cancel(0, job)
                 ),
             )
     elif action == "freeze":
@@ -274,7 +274,7 @@
     # Services may hold all that a team may use: without them every array gets done.
     for uid in [u for u, told in world.told.items() if told not in ("cancelled", "unknown")]:
         if world.specs[uid].service or uid in world.mistaken:
-            world.until(lambda uid=uid: world.withdraw(uid, "n2") == "cancelled", 10)  # type: ignore[misc]
+            world.until(lambda uid=uid: world.cancel(uid, "n2") == "cancelled", 10)  # type: ignore[misc]
     for uid, told in list(world.told.items()):
         stage = world.poll(uid, "n1")
         assert stage != "?"
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -40,9 +40,9 @@
         if m is not machines[0]:
             m.room = NOTHING
     for work in works:
-        work.job.submitted = node.cx.now
+        work.job.submitted = node.context.now
         scheduler.work[work.job.uid] = work
-    scheduler._held[share.number] = (node.cx.now, dict.fromkeys("abcd", 12.0), 24.0)
+    scheduler._held[share.number] = (node.context.now, dict.fromkeys("abcd", 12.0), 24.0)
     share.settled = True
     scheduler._turn(share)
     placed = {p.job.spec.image for p in machines[0].placements.values() if p.job is not None}
@@ -53,7 +53,7 @@
     node, machine = owner_of_some(ready(machines=12))
     scheduler, share = node.scheduler, machine.share
     work = waiting(share.number, "c", 1)
-    work.job.submitted = node.cx.now
+    work.job.submitted = node.context.now
     scheduler.work[work.job.uid] = work
     for m in node.fleet.of_share(share.number):
         m.images["a"] = 1.0
@@ -90,8 +90,8 @@
     scheduler, share = node.scheduler, machine.share
     old = waiting(share.number, "img", 1, deadline_s=20.0)
     new = waiting(share.number, "img", 2, deadline_s=500.0)
-    old.job.submitted = node.cx.now - AGED_S - 1.0  # type: ignore[assignment]
-    new.job.submitted = node.cx.now
+    old.job.submitted = node.context.now - AGED_S - 1.0  # type: ignore[assignment]
+    new.job.submitted = node.context.now
     scheduler.work = {w.job.uid: w for w in (old, new)}
     started = 0
     for _ in range(15):
@@ -119,7 +119,7 @@
     borrower = waiting(share.number, "img", 1, team="team-3")
     claimant = waiting(share.number, "img", 2, team="team-0")
     replica = waiting(share.number, "img", 3, team="team-0", service=True, rank=0)
-    borrower.job.submitted = node.cx.now
+    borrower.job.submitted = node.context.now
     scheduler.work[borrower.job.uid] = borrower
     for m in node.fleet.of_share(share.number):  # beyond its guarantee of 4 CPUs
         for _ in range(2):
@@ -131,7 +131,7 @@
 
     assert not stoppable(claimant.job)
     assert stoppable(replica.job), "a higher rank need not wait"
-    node.cx.now = Instant(node.cx.now + YOUNG_S + 0.1)
+    node.context.now = Instant(node.context.now + YOUNG_S + 0.1)
     assert stoppable(claimant.job)
-    borrower.job.submitted = node.cx.now - AGED_S - 1.0
+    borrower.job.submitted = node.context.now - AGED_S - 1.0
     assert not stoppable(claimant.job), "overdue work that has begun at last goes on"
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -11,8 +11,8 @@
 import production
 import pytest
 from test_cancellations import apart, outage_at_cancellation
+from test_faulty_jobs_and_late_writes import owner_of_job
 from test_gangs import gang, runs
-from test_meetings import owner_of_job
 from test_two_troubles import calm, leader, send, submit
 from world import CANCEL_S, FIVE, LEASE_S, MEMBERS, World, platform, spec
 
@@ -132,7 +132,7 @@
     assert owner_of_job(world, "j-000010") != owner
     assert len(world.starts) == starts, "in time, so that nothing was lost"
     other = next(m for m in members if m != owner)
-    assert world.withdraw("j-000010", other) == "cancelled"
+    assert world.cancel("j-000010", other) == "cancelled"
     world.start(owner)
     world.run(CANCEL_S)
     calm(world)
@@ -147,7 +147,7 @@
     world.run(5.0)
     for n, member in enumerate(members):
         before = world.now
-        assert world.withdraw(f"j-00001{n % 4}", members[0]) == "cancelled"
+        assert world.cancel(f"j-00001{n % 4}", members[0]) == "cancelled"
         assert world.now - before < 0.6
         if member != members[0]:
             back(world, member, 0.5, new=True)
@@ -171,7 +171,7 @@
     world.state.refusing.add(owner)
     apart(world, owner, taker)
     outage_at_cancellation(world)
-    world.withdraw("j-000011", taker)
+    world.cancel("j-000011", taker)
     world.run(CANCEL_S + 5.0)
     assert not world.broken
     calm(world)
@@ -201,7 +201,7 @@
                 spec(f"j-0002{n}{k}", tasks=2, team=f"team-{k}", estimate_s=2.0),
                 members[k % len(members)],
             )
-            send(world, members[(k + 1) % len(members)], t.Withdraw(0, f"j-00001{k}"))
+            send(world, members[(k + 1) % len(members)], t.Cancel(0, f"j-00001{k}"))
             world.run(2.0)
     calm(world)
 
@@ -246,7 +246,7 @@
     assert len(node.fleet.records) == 9 and node.fleet.types["m4"].cpus == 4.0
     shares = {node.shares.of_team(f"team-{n}") for n in range(4)}  # type: ignore[arg-type]
     assert shares == {0, 1, 2}, "dealt as that version dealt them"
-    assert sorted(s for n in world.nodes.values() if n is not None for s in n.shares.mine) == [
+    assert sorted(s for n in world.nodes.values() if n is not None for s in n.shares.owned) == [
         0,
         1,
         2,
@@ -262,7 +262,7 @@
     world.submit(gang("j-000003", team="team-2", estimate_s=60.0))
     world.submit(spec("j-000004", tasks=1, team="team-3", estimate_s=60.0))
     world.run(6.0)
-    world.withdraw("j-000004")
+    world.cancel("j-000004")
     world.until(lambda: noted(world), 10)
     new = world.nodes["n1"]
     assert new is not None
@@ -317,10 +317,10 @@
 
 def test_everything_is_planned_for_the_smaller_limits_from_the_start() -> None:
     node = planning(write_rps=56.0, value_kb=2.0, txn_ops=8)
-    assert node.cx.limits == (200.0, 56.0, 2048, 8)
+    assert node.context.limits == (200.0, 56.0, 2048, 8)
     assert node.store._share == pytest.approx(0.95 * 56.0 / 3)
-    assert planning().cx.limits == (200.0, 80.0, 16384, 24)
-    assert planning(value_kb=64.0, txn_ops=99).cx.limits == (200.0, 80.0, 16384, 24)
+    assert planning().context.limits == (200.0, 80.0, 16384, 24)
+    assert planning(value_kb=64.0, txn_ops=99).context.limits == (200.0, 80.0, 16384, 24)
 
 
 def largest(**changes: Any) -> JobSpec:
@@ -374,7 +374,7 @@
 
     settings = platform("n0", objectives=(Objective("wait", "l" * 200, within_s=3.0),))
     node = Node(settings, Operators(), random.Random(1), Instant(0.0))
-    order = Order(node.cx, Quota(node.cx))
+    order = Order(node.context, Quota(node.context))
     assert order.within[short("l" * 200)] == 3.0
 
 
@@ -409,11 +409,11 @@
         node.store._writes.level = 1e9
         node.scheduler.finishes.store_some(work, complete=False)
         node.store._flush()
-        commit = next(e for e in node.cx.out if isinstance(e, t.Commit))
-        node.cx.out.clear()
+        commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
+        node.context.effects.clear()
         made.append(commit)
-        node.handle(node.cx.now, t.Outcome(commit.tag, 200, 100 + len(made)))
-        node.cx.out.clear()
+        node.handle(node.context.now, t.Outcome(commit.tag, 200, 100 + len(made)))
+        node.context.effects.clear()
         assert len(made) < 50
     return made
 
@@ -459,11 +459,11 @@
     node.scheduler.finishes._unstored[work.job.uid] = work
     node.scheduler.finishes.store_some(work, complete=False)
     node.store._flush()
-    commit = next(e for e in node.cx.out if isinstance(e, t.Commit))
-    node.cx.out.clear()
-    node.handle(node.cx.now, t.Outcome(commit.tag, 400))
-    assert work.finished and work.retry_at > node.cx.now + 1.0
-    node.cx.limits = node.cx.limits._replace(value_bytes=LEAST)
+    commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
+    node.context.effects.clear()
+    node.handle(node.context.now, t.Outcome(commit.tag, 400))
+    assert work.finished and work.retry_at > node.context.now + 1.0
+    node.context.limits = node.context.limits._replace(value_bytes=LEAST)
     (commit,) = flushes(node, work)
     assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
 
@@ -471,10 +471,10 @@
 def test_the_record_of_teams_and_batches_of_machines_fit() -> None:
     node = planning(value_kb=2.0, txn_ops=LEAST_OPS)
     many = tuple(
-        _replace(node.cx.platform.settings.teams[0], name=f"team-{n:04d}") for n in range(400)
+        _replace(node.context.platform.settings.teams[0], name=f"team-{n:04d}") for n in range(400)
     )
-    settings = _replace(node.cx.platform.settings, teams=many)
-    node.cx.platform = _replace(node.cx.platform, settings=settings)
+    settings = _replace(node.context.platform.settings, teams=many)
+    node.context.platform = _replace(node.context.platform, settings=settings)
     _, changes = node.shares._mapping()
     assert json_size(changes[0][1]) <= LEAST, "hashes for all, where the list is too long"
     node.fleet.types = {"m4": t.MachineType("m4", 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ())}
@@ -482,7 +482,7 @@
     node.rental.inventory.leading = lambda: True
     node.rental.inventory.adopt(found)  # type: ignore[arg-type]
     batches = [c.then for _, _, c in node.store._queue] + [
-        e.then for e in node.cx.out if isinstance(e, t.Commit)
+        e.then for e in node.context.effects if isinstance(e, t.Commit)
     ]
     assert sum(map(len, batches)) == 100 and max(map(len, batches)) == LEAST_OPS
     rows = [
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -129,7 +129,7 @@
 
 
 def test_commands_open_at_once_are_bounded_and_none_is_lost() -> None:
-    """All machines doubted at once, as after a restart of everything: the doubted ones take no
+    """All machines suspected at once, as after a restart of everything: the suspected ones take no
     more than half of the commands there may be, and all are told in the end."""
     world: World = ready(machines=12)
     node, _ = owner_of_some(world)
@@ -139,16 +139,16 @@
     assert len(machines) >= 3
     for machine in machines:
         machine.do_after = Instant(0.0)
-        fleet.doubt(machine)
+        fleet.suspect(machine)
     told: set[str] = set()
     for _ in range(len(machines)):
         fleet.push()
-        commands = [e for e in node.cx.out if isinstance(e, t.Command)]
-        node.cx.out.clear()
+        commands = [e for e in node.context.effects if isinstance(e, t.Command)]
+        node.context.effects.clear()
         assert fleet._open <= 2
         told |= {c.addr for c in commands}
         for command in commands:
-            command.tag(t.Outcome(command.tag, 0, None, sent=False, began=node.cx.now))
+            command.tag(t.Outcome(command.tag, 0, None, sent=False, began=node.context.now))
     assert told == {m.addr for m in machines} and not fleet._open
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,13 +18,13 @@
 
 
 def answer(store: Store, status: int, body: Any = None, sent: bool = True) -> Any:
-    effect = store.cx.out.pop(0)
-    effect.tag(t.Outcome(effect.tag, status, body, sent, store.cx.now))
+    effect = store.context.effects.pop(0)
+    effect.tag(t.Outcome(effect.tag, status, body, sent, store.context.now))
     return effect
 
 
 def later(store: Store, seconds: float) -> None:
-    store.cx.now = Instant(store.cx.now + seconds)
+    store.context.now = Instant(store.context.now + seconds)
     store.tick()
 
 
@@ -45,16 +45,16 @@
     store.commit([], [("k", 1, None)], lambda r, s: results.append(r))
     for _ in range(TRIES - 1):
         answer(store, 429)
-        assert not results and not store.cx.out, "the service asked for a pause"
+        assert not results and not store.context.effects, "the service asked for a pause"
         later(store, 0.15)
-        store.cx.out = [e for e in store.cx.out if isinstance(e, t.Commit)]
-        assert len(store.cx.out) == 1
+        store.context.effects = [e for e in store.context.effects if isinstance(e, t.Commit)]
+        assert len(store.context.effects) == 1
     answer(store, 200, 7)
     assert results == ["ok"] and store.get("k") == 1 and store.stamp("k") == 7
     store.commit([], [("k", 2, None)], lambda r, s: results.append(r))
     for _ in range(TRIES):
         later(store, 0.15)
-        store.cx.out = [e for e in store.cx.out if isinstance(e, t.Commit)]
+        store.context.effects = [e for e in store.context.effects if isinstance(e, t.Commit)]
         answer(store, 429)
     assert results == ["ok", "refused"], "and not held for ever"
 
@@ -64,7 +64,7 @@
     results: list[str] = []
     later(store, 1.0)
     answer(store, 200, ([], 1))
-    store.cx.now = Instant(store.cx.now + 0.1)
+    store.context.now = Instant(store.context.now + 0.1)
     store.commit([], [("rc/k", 1, None)], lambda r, s: results.append(r))
     answer(store, 0)
     assert results == ["unknown"] and store.get("rc/k") is None
@@ -89,8 +89,8 @@
     node = world.nodes["n0"]
     assert node is not None
     before = node.authority.inc
-    world.state.leases.pop(node.authority.grant or 0)
-    for key in [k for k, (_, _, g) in world.state.data.items() if g == node.authority.grant]:
+    world.state.leases.pop(node.authority.lease or 0)
+    for key in [k for k, (_, _, g) in world.state.data.items() if g == node.authority.lease]:
         world.state.epoch += 1
         del world.state.data[key]
         world.state.log.append((key, None, world.state.epoch))
@@ -118,11 +118,11 @@
     """What is dropped is forgotten once no read can bring it back, or it would grow for ever."""
     store = store_with()
     store.commit([], [(ROOT + "k", 1, None)], lambda r, s: None)
-    commit = store.cx.out.pop(0)
+    commit = store.context.effects.pop(0)
     later(store, 1.0)
     answer(store, 200, ([(ROOT + "k", 1, 10), (ROOT + "k", None, 12)], 12))
     assert store.get(ROOT + "k") is None and not store.stamps
-    commit.tag(t.Outcome(commit.tag, 200, 10, began=store.cx.now))
+    commit.tag(t.Outcome(commit.tag, 200, 10, began=store.context.now))
     assert store.get(ROOT + "k") is None
 
 
@@ -138,17 +138,17 @@
         [("user", 1, None)],
         lambda r, s: results.update(user=r),
         Store.USER,
-        Instant(store.cx.now + 60.0),
+        Instant(store.context.now + 60.0),
     )
-    store.last_contact = store.cx.now
+    store.last_contact = store.context.now
     for _ in range(20):
         later(store, 0.1)
-        for effect in list(store.cx.out):
+        for effect in list(store.context.effects):
             assert isinstance(effect, t.Follow)
             answer(store, 503)
     assert results == {"user": "refused"} and store._writes.rate == pace
     later(store, 0.3)
     answer(store, 200, ([], 1))
     later(store, 0.05)
-    sent = [e for e in store.cx.out if isinstance(e, t.Commit)]
+    sent = [e for e in store.context.effects if isinstance(e, t.Commit)]
     assert [e.then[0][0] for e in sent] == ["own"]
--- a/tests/test_two_troubles.py
+++ b/tests/test_two_troubles.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from test_troubles import again, capture
+from test_partial_failures import again, capture
 from world import CANCEL_S, FIVE, LEASE_S, MEMBERS, World, spec
 
 from runcourse.core import types as t
@@ -141,7 +141,7 @@
     world.mute.update(ids if how_many == "all" else ids[::3])
     world.run(1.0)
     submit(world, spec("j-000100", tasks=6, team="team-1"), members[0])
-    send(world, members[1], t.Withdraw(0, "j-000010"))
+    send(world, members[1], t.Cancel(0, "j-000010"))
     world.run(LEASE_S + 4.0)
     calm(world)
 
@@ -165,7 +165,7 @@
         send(
             world,
             members[(n + 1) % len(members)],
-            t.Withdraw(0, f"j-00010{n}" if n % 3 == 0 else "j-000010"),
+            t.Cancel(0, f"j-00010{n}" if n % 3 == 0 else "j-000010"),
         )
         world.run(3.0)
     calm(world)
@@ -216,7 +216,7 @@
         )
         world.run(0.8)
         if n % 4 == 3:
-            send(world, members[n % 3], t.Withdraw(0, f"j-0001{n:02d}"))
+            send(world, members[n % 3], t.Cancel(0, f"j-0001{n:02d}"))
         if n == 8:
             end_of(world, members[0], 0.3)
     world.run(14.0)
@@ -259,7 +259,7 @@
         )
         world.run(0.6 + n * 0.03)
         for k, member in enumerate(members):
-            kinds: list[Any] = [t.Withdraw(0, uid), t.Poll(0, uid), t.Submit(0, uid, job)]
+            kinds: list[Any] = [t.Cancel(0, uid), t.Poll(0, uid), t.Submit(0, uid, job)]
             send(world, member, kinds[(n + k) % 3])
             world.run(0.01)
         world.run(0.3)
@@ -283,7 +283,7 @@
             world.after(
                 0.3 + n % 5,
                 lambda uid=uid, n=n: send(  # type: ignore[misc]
-                    world, world.members[n % 3], t.Withdraw(0, uid)
+                    world, world.members[n % 3], t.Cancel(0, uid)
                 ),
             )
         world.run(0.25)
@@ -314,7 +314,7 @@
             world.run(0.1)
         if n % 3 == 0:
             for member in members:
-                send(world, member, t.Withdraw(0, uid))
+                send(world, member, t.Cancel(0, uid))
         world.run(0.6)
     if len(members) == 5:
         end_of(world, members[0], 0.2)
@@ -355,7 +355,7 @@
     world.cut.update(frozenset((i, o)) for i in inside for o in outside)
     world.run(1.0)
     for n in range(TEAMS):
-        send(world, members[1], t.Withdraw(0, f"j-00001{n}"))
+        send(world, members[1], t.Cancel(0, f"j-00001{n}"))
         submit(world, spec(f"j-00010{n}", tasks=2, team=f"team-{n}"), members[2])
     world.run(seconds)
     world.cut.clear()
@@ -375,7 +375,7 @@
     assert held and who is not None
     world.crash(who)
     for n in range(TEAMS):
-        send(world, members[1], t.Withdraw(0, f"j-00001{n}"))
+        send(world, members[1], t.Cancel(0, f"j-00001{n}"))
 
     def deliver() -> None:
         for _, report in held:
@@ -414,7 +414,7 @@
     for k in range(3):
         world.run(0.7)
         for n in range(TEAMS):
-            send(world, members[(n + k) % len(members)], t.Withdraw(0, f"j-00000{n}"))
+            send(world, members[(n + k) % len(members)], t.Cancel(0, f"j-00000{n}"))
     world.run(LEASE_S - 3.0)
     go_on(world, ids)
     world.run(CANCEL_S)
@@ -424,7 +424,7 @@
 @BOTH
 def test_all_controllers_are_away_for_longer_than_a_lease(members: tuple[str, ...]) -> None:
     world = busy(members)
-    send(world, members[1], t.Withdraw(0, "j-000011"))
+    send(world, members[1], t.Cancel(0, "j-000011"))
     world.run(0.2)
     for member in members:
         world.crash(member)
@@ -457,7 +457,7 @@
     end_of(world, leader(world) or members[0], 2.0)
     world.run(20.0)
     for n in range(0, 12, 3):
-        send(world, members[1], t.Withdraw(0, f"j-0001{n:02d}"))
+        send(world, members[1], t.Cancel(0, f"j-0001{n:02d}"))
     world.run(10.0)
     calm(world, 120.0)
 
@@ -474,9 +474,9 @@
     for k in range(8):
         world.run(1.0)
         for n in range(TEAMS):
-            send(world, others[k % len(others)], t.Withdraw(0, f"j-00001{n}"))
+            send(world, others[k % len(others)], t.Cancel(0, f"j-00001{n}"))
             send(world, old, t.Poll(0, f"j-00001{n}"))
-            send(world, old, t.Withdraw(0, f"j-00000{n}"))
+            send(world, old, t.Cancel(0, f"j-00000{n}"))
     world.run(CANCEL_S)
     assert all(world.told[f"j-00001{n}"] == "cancelled" for n in range(TEAMS))
     calm(world)
@@ -513,7 +513,7 @@
     world.run(cancel_after)
     for n in range(TEAMS):
         for member in members:
-            send(world, member, t.Withdraw(0, f"j-00001{n}"))
+            send(world, member, t.Cancel(0, f"j-00001{n}"))
             send(world, member, t.Poll(0, f"j-00000{n}"))
     for _ in range(int(CANCEL_S)):
         world.run(1.3)
@@ -531,7 +531,7 @@
     world.slow_state = 1.2
     for n in range(TEAMS):
         for member in members:
-            send(world, member, t.Withdraw(0, f"j-00001{n}"))
+            send(world, member, t.Cancel(0, f"j-00001{n}"))
         world.run(0.7)
         send(world, members[n % 3], t.Poll(0, f"j-00001{n}"))
     end_of(world, leader(world) or members[0], 0.5)
@@ -553,7 +553,7 @@
             spec(f"j-00010{n}", tasks=2, team=f"team-{n % TEAMS}", estimate_s=2.0),
             members[n % len(members)],
         )
-        send(world, members[0], t.Withdraw(0, f"j-00001{n % TEAMS}"))
+        send(world, members[0], t.Cancel(0, f"j-00001{n % TEAMS}"))
         world.run(2.0 + n % 3)
         worker.hung = False
         world.deliver_held()
@@ -596,7 +596,7 @@
         )
         if n % 4 == 0:
             world.run(0.05)
-            send(world, members[(n + 1) % len(members)], t.Withdraw(0, uid))
+            send(world, members[(n + 1) % len(members)], t.Cancel(0, uid))
         for k in range(7):
             world.run(0.1)
             send(world, members[k % len(members)], t.Poll(0, f"j-0001{max(0, n - k):02d}"))
@@ -694,7 +694,7 @@
         end = world.now + seconds
         while world.now < end and number[0] < 60:
             up = [m for m in members if world.nodes[m] is not None]
-            send(world, up[number[0] % len(up)], t.Withdraw(0, f"j-0001{number[0]:02d}"))
+            send(world, up[number[0] % len(up)], t.Cancel(0, f"j-0001{number[0]:02d}"))
             number[0] += 1
             world.run(0.1)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -132,15 +132,15 @@
                 return 200, ([(k, v, s) for k, (v, s, _) in sorted(self.data.items())], self.epoch)
             case t.Follow():
                 return 200, ([c for c in self.log if c[2] > effect.since], self.epoch)
-            case t.Grant():
+            case t.GrantLease():
                 grant = next(self._grants)
                 self.leases[grant] = (self.world.now + effect.ttl_ms / 1000, effect.ttl_ms / 1000)
                 return 200, grant
-            case t.Extend():
-                if effect.grant not in self.leases:
+            case t.ExtendLease():
+                if effect.lease not in self.leases:
                     return 404, None
-                ttl = self.leases[effect.grant][1]
-                self.leases[effect.grant] = (self.world.now + ttl, ttl)
+                ttl = self.leases[effect.lease][1]
+                self.leases[effect.lease] = (self.world.now + ttl, ttl)
                 return 200, None
             case t.Commit():
                 return self._commit(effect)
@@ -264,7 +264,7 @@
         self.asking += 1
         asked = self.asking
 
-        def answered(answer: t.AnswerBeat | None) -> None:
+        def answered(answer: t.ReportAnswer | None) -> None:
             if self.asking != asked or not self.alive or self.world.now > sent + 4:
                 return
             self.step()
@@ -286,7 +286,7 @@
                 self.waiting = False
                 self.next_node()
 
-        self.world.ask(self.id, self.node, t.Beat(0, self.report()), answered)
+        self.world.ask(self.id, self.node, t.ReportReceived(0, self.report()), answered)
         self.world.after(4.0, gave_up)
 
     def obey(self, orders: tuple[t.Order, ...]) -> None:
@@ -488,15 +488,15 @@
                 self.feed(member, t.Outcome(effect.tag, status, body, sent, began))
 
         match effect:
-            case t.Answer() | t.AnswerBeat():
+            case t.UserAnswer() | t.ReportAnswer():
                 waiter = self._answers.pop((member, generation, effect.request), None)
                 if waiter is not None:
                     waiter(effect)
-            case t.Say():
+            case t.SendToPeer():
                 for other in self.members:
                     if other != member and effect.member in (None, other):
                         self._say(member, other, effect.message)
-            case t.Follow() | t.ReadAll() | t.Commit() | t.Grant() | t.Extend():
+            case t.Follow() | t.ReadAll() | t.Commit() | t.GrantLease() | t.ExtendLease():
                 self._to_state(member, effect, back)
             case t.Command():
                 self._to_worker(member, effect, back)
@@ -536,7 +536,7 @@
         if self.reachable(member, other):
 
             def arrive() -> None:
-                self.feed(other, t.PeerSaid(member, message))  # type: ignore[arg-type]
+                self.feed(other, t.PeerMessageReceived(member, message))  # type: ignore[arg-type]
 
             self.after(self._latency(), arrive)
             self._copy(arrive)
@@ -643,18 +643,18 @@
             self.feed(member, event)
 
         self.after(self._latency(), arrive)
-        if isinstance(event, t.Beat):
+        if isinstance(event, t.ReportReceived):
             report = event.report
 
             def again() -> None:
                 if self.nodes[member] is not None:
-                    self.feed(member, t.Beat(next(self._requests), report))
+                    self.feed(member, t.ReportReceived(next(self._requests), report))
 
             self._copy(again)
 
     # --- users -----------------------------------------------------------------------
 
-    def _user(self, member: str, event: Any) -> t.Answer | None:
+    def _user(self, member: str, event: Any) -> t.UserAnswer | None:
         got: list[Any] = []
         self.ask("user", member, event, got.append)
         end = self.now + 4.0
@@ -677,8 +677,8 @@
         self.note(uid, stage)
         return stage
 
-    def withdraw(self, uid: str, member: str = "n0") -> str:
-        answer = self._user(member, t.Withdraw(0, uid))
+    def cancel(self, uid: str, member: str = "n0") -> str:
+        answer = self._user(member, t.Cancel(0, uid))
         if answer is None or answer.status != 200:
             return "?"
         self.note(uid, answer.body["stage"])
