--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -135,7 +135,7 @@
         self._draining.remove(machine)
         machine.draining_until = Instant(now + DRAIN_S)
         for placement in placements:
-            self.fleet.stop(placement)
+            self.fleet.placements.stop(placement)
 
     def _leave(self, machine: Machine) -> None:
         """A machine under notice: what won't end in time and finds room elsewhere stops now,
@@ -170,7 +170,7 @@
                 continue
             if target is not None:
                 rooms[target.id] = rooms[target.id].minus(placement.size)
-            self.fleet.stop(placement, grace(placement))
+            self.fleet.placements.stop(placement, grace(placement))
 
     def _leave_whole(self, placement: Placement, left: float) -> None:
         """A gang of which one task is on a machine under notice stops as late as it can still save,
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -76,7 +76,7 @@
         enough = 1.5 * work.fails_after + 1.0
         return any(
             p.stage == "running" and self.context.now - p.ran_since > enough
-            for p in self.fleet.of_job(work.job.uid)
+            for p in self.fleet.placements.of_job(work.job.uid)
         )
 
     def _found_mistaken(self, work: Work) -> None:
@@ -96,9 +96,9 @@
                 if len(recent) < FAULTY_AT:
                     machine.quarantined_until = now
         # What has not begun yet would fetch its image for nothing.
-        for placement in self.fleet.of_job(uid):
+        for placement in self.fleet.placements.of_job(uid):
             if placement.stage in ("sent", "fetching"):
-                self.fleet.stop(placement)
+                self.fleet.placements.stop(placement)
 
     def _put_off(self, work: Work) -> None:
         pause = min(PROBE_MOST_S, PROBE_FIRST_S * 2 ** min(work.probes, 8))
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -100,7 +100,7 @@
         attempt = work.attempt if any(work.zones.values()) else None
         attempt = holding.next_attempt() if attempt is None else attempt
         for number, machine in plan.places:
-            self.fleet.place(job, number, machine, attempt)
+            self.fleet.placements.place(job, number, machine, attempt)
         self.context.log(
             "debug",
             f"gang {job.uid} placed on"
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -80,7 +80,7 @@
                 work.ending = True
         if work.ending:
             self._end(work)
-        if not self.fleet.of_job(work.job.uid):
+        if not self.fleet.placements.of_job(work.job.uid):
             self._idle(work)
 
     def _comes(self, work: Work) -> bool:
@@ -88,7 +88,9 @@
         return (
             not work.started
             and not work.ending
-            and any(p.stage in ("sent", "fetching") for p in self.fleet.of_job(work.job.uid))
+            and any(
+                p.stage in ("sent", "fetching") for p in self.fleet.placements.of_job(work.job.uid)
+            )
         )
 
     def _missing(self, work: Work) -> str:
@@ -100,9 +102,9 @@
 
     def _end(self, work: Work) -> None:
         """The others can't go on. What saves in an orderly stop is left to it."""
-        for mate in self.fleet.of_job(work.job.uid):
+        for mate in self.fleet.placements.of_job(work.job.uid):
             if not mate.stopping:
-                self.fleet.stop(mate)
+                self.fleet.placements.stop(mate)
 
     def look(self, work: Work) -> str:
         """Why nothing of the gang may be started now; empty: all that is pending may. Asked only
@@ -110,20 +112,23 @@
         if (
             not work.ending
             and work.pending
-            and (work.started or any(p.stage == "saving" for p in self.fleet.of_job(work.job.uid)))
+            and (
+                work.started
+                or any(p.stage == "saving" for p in self.fleet.placements.of_job(work.job.uid))
+            )
         ):
             # A task of a running gang is nowhere, perhaps since before a takeover.
             work.ending = True
             self._end(work)
         if not work.ending:
             return ""
-        if self.fleet.of_job(work.job.uid):
+        if self.fleet.placements.of_job(work.job.uid):
             return "tasks of an earlier attempt are still there"
         self._idle(work)
         return ""
 
     def phase(self, work: Work) -> str:
-        if not self.fleet.of_job(work.job.uid):
+        if not self.fleet.placements.of_job(work.job.uid):
             return "idle"
         return "ending" if work.ending else "running" if work.started else "placed"
 
@@ -134,9 +139,9 @@
         can be told at once: else the save fails, and the time is lost too."""
         work = self.work.get(placement.task.job)
         if work is None or not work.job.spec.gang:
-            self.fleet.stop(placement, grace(placement) if grace_s is None else grace_s)
+            self.fleet.placements.stop(placement, grace(placement) if grace_s is None else grace_s)
             return
-        members = self.fleet.of_job(work.job.uid)
+        members = self.fleet.placements.of_job(work.job.uid)
         all_told = len(members) == work.job.spec.tasks and all(
             not m.machine.suspected
             and m.machine.addr
@@ -148,14 +153,14 @@
         work.ending = True
         for member in members:
             if not member.stopping:
-                self.fleet.stop(member, grace(member) if all_told else 0.0)
+                self.fleet.placements.stop(member, grace(member) if all_told else 0.0)
 
     def lost(self, placement: Placement) -> float:
         """What stopping it costs, in seconds of work; of a gang all its tasks' part."""
         now = self.context.now
         if placement.job is None or not placement.job.spec.gang:
             return loss(placement, now)
-        return sum(loss(mate, now) for mate in self.fleet.of_job(placement.task.job))
+        return sum(loss(mate, now) for mate in self.fleet.placements.of_job(placement.task.job))
 
     def size(self, work: Work) -> Size:
         """Of all that is pending of it, less one task."""
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -241,6 +241,16 @@
     def holds(self, task: TaskId) -> bool:
         return any(t == task for t, _ in self.placements)
 
+    def remember_image(self, job: Job) -> None:
+        """The machine holds the image of the job; the least recently used ones may have gone."""
+        images = self.images
+        self.fetches = None
+        images[job.spec.image] = job.spec.image_gb
+        images.move_to_end(job.spec.image)
+        if self.type is not None:
+            while len(images) > 1 and sum(images.values()) > self.type.cache_gb:
+                images.popitem(last=False)
+
     @property
     def busy(self) -> bool:
         """Something is on it, or may be, or may yet come to be."""
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -117,7 +117,7 @@
             self.authority.tick()  # a restart is short of time: workers' leases run
         self.scheduler.finishes.flush()
         self.scheduler.turn()
-        self.fleet.push()
+        self.fleet.commands.push()
         effects, context.effects = context.effects, []
         return effects
 
@@ -160,7 +160,7 @@
                     None,
                     Heartbeat(
                         self._contact(),
-                        {str(uid): n for uid, n in self.fleet.running_counts().items()},
+                        {str(uid): n for uid, n in self.fleet.placements.running_counts().items()},
                         self.fleet.silent(),
                         self.store.applied,
                     ),
@@ -261,8 +261,8 @@
             self._answer(beat, ReportAnswer(beat.request, 503))
             return
         before = machine.heard
-        if not self.fleet.apply_report(beat.report):
-            if self.fleet.overtaken(beat.report):
+        if not self.fleet.reports.apply(beat.report):
+            if self.fleet.reports.overtaken(beat.report):
                 self.fleet.answered(machine)
                 self._answer(
                     beat, ReportAnswer(beat.request, 200, machine.token, until=self.authority.end())
@@ -270,7 +270,7 @@
             else:
                 self._answer(beat, ReportAnswer(beat.request, 503))
             return
-        self.fleet.note_route(machine, beat.relayed_by is not None, before)
+        self.fleet.reports.note_route(machine, beat.relayed_by is not None, before)
         if self.fleet.unreached_s(machine) > self.fleet.silence_limit_s():
             # Answers don't reach it, as it seems; without them its lease surely ends, which
             # proves its tasks gone. One that heard them after all comes with a new session.
@@ -278,8 +278,8 @@
             return
         self.scheduler.turn()
         self.fleet.answered(machine)
-        orders = self.fleet.orders(machine, answering=True)  # may raise the token
-        self.fleet.pace(machine)
+        orders = self.fleet.commands.orders(machine, answering=True)  # may raise the token
+        self.fleet.commands.pace(machine)
         self._answer(
             beat, ReportAnswer(beat.request, 200, machine.token, orders, until=self.authority.end())
         )
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -131,7 +131,7 @@
 
     def _open(self, job: Job, share: ShareNo) -> None:
         work = Work(job, share)
-        placed = {p.task.number for p in self.fleet.of_job(job.uid)}
+        placed = {p.task.number for p in self.fleet.placements.of_job(job.uid)}
         # As digits once: shifting a large bitmap for each of 100,000 tasks takes seconds.
         done = f"{job.done_bits:b}".rjust(job.spec.tasks, "0")
         work.pending = {
@@ -141,15 +141,15 @@
         }
         self.work[job.uid] = work
         if job.spec.gang:
-            for placement in self.fleet.of_job(job.uid):
+            for placement in self.fleet.placements.of_job(job.uid):
                 self.gangs.placed(work, placement)
         self._dirty = True
 
     def _close(self, job: Job) -> None:
         self.work.pop(job.uid, None)
         self.finishes.drop(job.uid)
-        for placement in self.fleet.of_job(job.uid):
-            self.fleet.stop(placement)
+        for placement in self.fleet.placements.of_job(job.uid):
+            self.fleet.placements.stop(placement)
         self._dirty = True
 
     # --- what the ledger tells -----------------------------------------------------------
@@ -167,7 +167,7 @@
             if work.job.spec.gang:
                 self.gangs.placed(work, placement)
         elif placement.job is not None and placement.job.final:
-            self.fleet.stop(placement)
+            self.fleet.placements.stop(placement)
 
     def unplaced(self, placement: Placement) -> None:
         self.quota.remove(placement)
@@ -207,7 +207,7 @@
         if (
             not work.finished >> index & 1
             and not work.job.is_done(index)
-            and placement.task not in self.fleet.where
+            and placement.task not in self.fleet.placements.by_task
         ):
             work.pending[index] = None
             work.tried.add(index)
@@ -525,7 +525,10 @@
                 count(work.job, len(work.pending))
         for job, _ in self._ending.values():
             if self.shares.of_team(Team(job.spec.team)) == holding.number:
-                count(job, job.spec.tasks - job.done_count - len(self.fleet.of_job(job.uid)))
+                count(
+                    job,
+                    job.spec.tasks - job.done_count - len(self.fleet.placements.of_job(job.uid)),
+                )
         return {team: Size(*map(min, size, most)) for team, size in found.items()}
 
     def _score(self, job: Job, machine: Machine, used: Size | None = None) -> float:
@@ -596,7 +599,7 @@
             if not scored:
                 break
             _, n, machine = scored[0]
-            self.fleet.place(job, task.number, machine, machine.share.next_attempt())
+            self.fleet.placements.place(job, task.number, machine, machine.share.next_attempt())
             self.context.log(
                 "debug", f"{task} placed on {machine.id}, {now - job.submitted:.2f} s after its job"
             )
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -64,7 +64,7 @@
             return job_state(job.uid, job.stage, done, 0)
         share = self.shares.of_team(Team(job.spec.team))
         running = (
-            self.fleet.running_of(job.uid)
+            self.fleet.placements.running_of(job.uid)
             if share in self.shares.owned
             else self.running.get(job.uid, 0)
         )
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -218,7 +218,7 @@
         assert (await service.ask("POST", "/agent/beat", worker.report()))[0] == 503
         baton = worker.baton
         machine = next(iter(node.fleet.machines.values()))
-        node.fleet.suspect(machine)  # raises the token; a command would tell the worker
+        node.fleet.commands.suspect(machine)  # raises the token; a command would tell the worker
         async with asyncio.timeout(10):
             while machine.do_after <= node.context.now - 0.5 or machine.do_open:
                 await asyncio.sleep(0.02)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -223,10 +223,10 @@
     machine.placements[(placement.task, placement.attempt)] = placement
 
     def cleared() -> bool:
-        return any(o.op == "forget" for o in node.fleet.orders(machine, answering=True))
+        return any(o.op == "forget" for o in node.fleet.commands.orders(machine, answering=True))
 
     assert cleared()
-    assert not any(o.op == "forget" for o in node.fleet.orders(machine, answering=False))
+    assert not any(o.op == "forget" for o in node.fleet.commands.orders(machine, answering=False))
     machine.do_open = True
     assert not cleared()
     machine.do_open = False
@@ -241,11 +241,13 @@
     world.specs["j-000070"] = spec("j-000070")
     job = Job(spec("j-000070"), 1)  # type: ignore[arg-type]
     before = machine.token
-    placement = node.fleet.place(job, 0, machine, machine.share.next_attempt())
-    node.fleet.stop(placement)
+    placement = node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
+    node.fleet.placements.stop(placement)
     assert placement.fence > before, "a start under way would run under the old token"
-    assert not node.fleet.orders(machine, answering=True)
-    assert placement.task in node.fleet.where, "possibly there until the new token is seen"
+    assert not node.fleet.commands.orders(machine, answering=True)
+    assert placement.task in node.fleet.placements.by_task, (
+        "possibly there until the new token is seen"
+    )
 
 
 def test_a_notice_moves_what_will_not_end_in_time() -> None:
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -138,7 +138,7 @@
             if placement.task.job == uid and machine.id not in hosts and len(hosts) < machines:
                 failed = t.TaskReport(placement.task, placement.attempt, "ended", "error")
                 hosts[machine.id] = failed
-                node.fleet._listed(machine, failed)
+                node.fleet.placements.update(machine, failed, node.jobs.get(failed.task.job))
     assert len(hosts) == machines
     return work
 
@@ -191,22 +191,24 @@
     node, machine = owner_of_some(world)
     job = Job(spec("j-000510", tasks=2000, cpus=0.01, memory=0.01), Stamp(1))
     for n in range(MOST_LISTED):
-        node.fleet.place(job, n, machine, machine.share.next_attempt())
+        node.fleet.placements.place(job, n, machine, machine.share.next_attempt())
     assert not node.fleet.usable(machine)
     assert (
         len(
             encode(
                 commands(
-                    machine.token, machine.session, node.fleet.orders(machine, answering=False)
+                    machine.token,
+                    machine.session,
+                    node.fleet.commands.orders(machine, answering=False),
                 )
             )
         )
         < 48 * 1024
     )
-    node.fleet.pace(machine)
+    node.fleet.commands.pace(machine)
     assert machine.do_after >= node.context.now + 1.0
     quick = next(m for m in node.fleet.machines.values() if m is not machine)
-    node.fleet.pace(quick)
+    node.fleet.commands.pace(quick)
     assert quick.do_after <= node.context.now
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -246,12 +246,14 @@
     work = work_of(world)
     node = node_of(world)
     # Of two tasks that wait, one exits as incomplete.
-    placement = node.fleet.of_job(UID)[0]  # type: ignore[arg-type]
+    placement = node.fleet.placements.of_job(UID)[0]  # type: ignore[arg-type]
     work.started = False
-    for mate in node.fleet.of_job(UID):  # type: ignore[arg-type]
+    for mate in node.fleet.placements.of_job(UID):  # type: ignore[arg-type]
         mate.stage = "waiting"
-    node.fleet._listed(
-        placement.machine, t.TaskReport(placement.task, placement.attempt, "ended", "incomplete")
+    node.fleet.placements.update(
+        placement.machine,
+        t.TaskReport(placement.task, placement.attempt, "ended", "incomplete"),
+        placement.job,
     )
     assert work.ending and work.not_before > node.context.now and work.incomplete == 1
     assert any(isinstance(e, t.Log) and "not there" in e.text for e in node.context.effects)
@@ -317,7 +319,7 @@
     other.alive = False
     starts, node = len(world.starts), node_of(world)
     # Its tasks count as there until it is returned, or its lease is over.
-    while any(p.machine.id == cut.id for p in node.fleet.of_job(UID)):  # type: ignore[arg-type]
+    while any(p.machine.id == cut.id for p in node.fleet.placements.of_job(UID)):  # type: ignore[arg-type]
         assert len(world.starts) == starts
         world.run(0.1)
     assert world.now > 2.0
@@ -333,15 +335,15 @@
         world.run(2.5)
         node, work = node_of(world), work_of(world)
         assert work.started
-        lost = node.fleet.of_job(UID)[0]  # type: ignore[arg-type]
+        lost = node.fleet.placements.of_job(UID)[0]  # type: ignore[arg-type]
         if told:
-            node.fleet._remove(lost, "lease")
+            node.fleet.placements.remove(lost, "lease")
         else:  # as if it had never been heard of here
-            node.fleet._deactivate(lost, lost.stage)
+            node.fleet.placements._deactivate(lost, lost.stage)
             del lost.machine.placements[(lost.task, lost.attempt)]
             work.pending[lost.task.number] = None
             node.scheduler.gangs.look(work)
-        assert work.ending and all(p.stopping for p in node.fleet.of_job(UID))  # type: ignore[arg-type]
+        assert work.ending and all(p.stopping for p in node.fleet.placements.of_job(UID))  # type: ignore[arg-type]
 
 
 def after(run_s: float) -> tuple[World, Node, list[Placement]]:
@@ -349,7 +351,7 @@
     world = running(estimate_s=30.0)
     world.run(run_s)
     node = node_of(world)
-    return world, node, node.fleet.of_job(UID)  # type: ignore[arg-type]
+    return world, node, node.fleet.placements.of_job(UID)  # type: ignore[arg-type]
 
 
 # --- orderly stops -----------------------------------------------------------------------
@@ -370,8 +372,10 @@
     world, node, members = after(2.5)
     node.scheduler.gangs.stop(members[0])
     first = members[0]
-    node.fleet._listed(
-        first.machine, t.TaskReport(first.task, first.attempt, "ended", "stopped", True)
+    node.fleet.placements.update(
+        first.machine,
+        t.TaskReport(first.task, first.attempt, "ended", "stopped", True),
+        first.job,
     )
     assert not first.active
     assert all(p.grace_s == 1.0 and not p.forced for p in members[1:])
@@ -383,9 +387,9 @@
 
 def test_one_that_cannot_be_told_makes_the_stop_a_plain_one() -> None:
     world, node, members = after(6.5)
-    node.fleet.suspect(members[0].machine)
+    node.fleet.commands.suspect(members[0].machine)
     node.scheduler.gangs.stop(members[0])
-    assert {p.grace_s for p in node.fleet.of_job(UID)} == {0.0}  # type: ignore[arg-type]
+    assert {p.grace_s for p in node.fleet.placements.of_job(UID)} == {0.0}  # type: ignore[arg-type]
     world.run(3.0)
     assert world.progress[UID] == 4.0
     calm(world)
@@ -473,7 +477,7 @@
         world.run(2.0)
         node = node_of(world)
         if phase == "saving":
-            node.scheduler.gangs.stop(node.fleet.of_job(UID)[0])  # type: ignore[arg-type]
+            node.scheduler.gangs.stop(node.fleet.placements.of_job(UID)[0])  # type: ignore[arg-type]
             world.run(0.3)
         elif phase == "mates":
             machines_of(world)[0].alive = False
@@ -532,7 +536,7 @@
     world.until(lambda: world.poll(UID) == "done", 20)
     world.run(5.0)
     assert changes[0] == 1 and not world.broken
-    assert not node_of_team(world).fleet.of_job(UID)  # type: ignore[arg-type]
+    assert not node_of_team(world).fleet.placements.of_job(UID)  # type: ignore[arg-type]
 
 
 def test_a_mistaken_gang_is_tried_as_a_whole_and_ever_more_seldom() -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,7 +6,7 @@
 from world import World, spec
 
 from runcourse.core import types as t
-from runcourse.core.ids import Attempt, Incarnation, Instant, Session, TaskId
+from runcourse.core.ids import Attempt, Incarnation, Instant, Session, ShareNo, TaskId
 from runcourse.core.jobs import Job, Jobs, job_value
 from runcourse.core.machine import Machine, Placement
 from runcourse.core.node import Node
@@ -14,6 +14,11 @@
 from runcourse.wire.peer_messages import GrantRequest, GrantResponse
 
 
+def placements_of(node: Node, share: ShareNo) -> list[Placement]:
+    """All that is placed on the machines of a share."""
+    return [p for m in node.fleet.of_share(share) for p in m.placements.values()]
+
+
 def owner_of_some(world: World) -> tuple[Node, Machine]:
     node = next(n for n in world.nodes.values() if n is not None and n.fleet.machines)
     return node, next(iter(node.fleet.machines.values()))
@@ -38,26 +43,26 @@
     node, machine = owner_of_some(ready())
     task = TaskId(spec("j-000001").uid, 0)  # type: ignore[arg-type]
     running = t.TaskReport(task, Attempt(7), "running")
-    assert node.fleet.apply_report(message(machine, machine.session, machine.seq + 5, running))
-    assert task in node.fleet.where
-    assert not node.fleet.apply_report(message(machine, machine.session, machine.seq - 1))
-    assert not node.fleet.apply_report(message(machine, machine.session - 1, 999))
-    assert task in node.fleet.where
+    assert node.fleet.reports.apply(message(machine, machine.session, machine.seq + 5, running))
+    assert task in node.fleet.placements.by_task
+    assert not node.fleet.reports.apply(message(machine, machine.session, machine.seq - 1))
+    assert not node.fleet.reports.apply(message(machine, machine.session - 1, 999))
+    assert task in node.fleet.placements.by_task
 
 
 def test_an_order_of_unknown_fate_raises_the_token() -> None:
     node, machine = owner_of_some(ready())
     job = Job(spec("j-000002"), 1)  # type: ignore[arg-type]
-    node.fleet.place(job, 0, machine, machine.share.next_attempt())
+    node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     before = machine.token
-    node.fleet.push()
+    node.fleet.commands.push()
     command = next(e for e in node.context.effects if isinstance(e, t.Command))
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=True))
     assert machine.token > before and machine.suspected and machine.suspect_token == machine.token
     surely_lost = machine.token
     machine.do_after = node.context.now
-    node.fleet._dirty[machine.id] = None
-    node.fleet.push()
+    node.fleet.commands._dirty[machine.id] = None
+    node.fleet.commands.push()
     command = next(e for e in reversed(node.context.effects) if isinstance(e, t.Command))
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
     assert machine.token == surely_lost, "what never left needs no fence"
@@ -74,9 +79,9 @@
     placement = Placement(TaskId(job.uid, 1), Attempt(1), machine, job, Instant(0.0))
     placement.stage, placement.cause, placement.seen = "ended", "done", True
     machine.placements[(placement.task, placement.attempt)] = placement
-    assert not node.fleet.orders(machine, answering=True)
+    assert not node.fleet.commands.orders(machine, answering=True)
     job.add_done(0b10)
-    assert [o.op for o in node.fleet.orders(machine, answering=True)] == ["forget"]
+    assert [o.op for o in node.fleet.commands.orders(machine, answering=True)] == ["forget"]
 
 
 def test_a_final_stage_stays_whatever_news_arrives() -> None:
@@ -133,20 +138,20 @@
     work.pending = {1: None, 0: None}
     work.job.accepted = holding.epoch
     later = Job(spec("j-000010", tasks=1, cpus=1.0), holding.epoch + 1)  # type: ignore[arg-type]
-    for placement in list(node.fleet.placements(holding.number)):
+    for placement in placements_of(node, holding.number):
         node.quota.remove(placement)
     assert node.quota.allows(later), "what is seen alone would leave room"
     node.scheduler.work[later.uid] = Work(later, holding.number)
     node.scheduler.work[later.uid].pending = {0: None}
     node.scheduler._turn(holding)
-    assert TaskId(later.uid, 0) not in node.fleet.where
+    assert TaskId(later.uid, 0) not in node.fleet.placements.by_task
     # What can't hold such tasks hides none of them.
     hiding.record = hiding.record._replace(spot=True)
     assert not node.scheduler._unlocated(holding, node.scheduler._hidden(holding))
     holding.settled = hiding.settled = True
     work.pending = {}
     node.scheduler._turn(holding)
-    assert TaskId(later.uid, 0) in node.fleet.where, [
+    assert TaskId(later.uid, 0) in node.fleet.placements.by_task, [
         (m.id, m.room, node.fleet.usable(m), node.scheduler.work[later.uid].wait_reason)
         for m in node.fleet.of_share(holding.number)
     ]
@@ -162,8 +167,8 @@
     node = next(n for n in world.nodes.values() if n is not None and n.scheduler.work)
     number = node.shares.of_team("team-0")  # type: ignore[arg-type]
     holding = node.shares.owned[number]
-    for placement in list(node.fleet.placements(number)):
-        node.fleet._remove(placement, "share lost")
+    for placement in placements_of(node, number):
+        node.fleet.placements.remove(placement, "share lost")
     holding.settled = False
     hiding = node.fleet.of_share(number)[:2]
     for machine in hiding:
--- a/tests/test_partial_failures.py
+++ b/tests/test_partial_failures.py
@@ -166,7 +166,7 @@
     world = ready(machines=1, lease_s=12.0)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.deaf.add(machine.id)
-    node.fleet.suspect(machine)
+    node.fleet.commands.suspect(machine)
     world.run(0.9)
     assert node.fleet.silent_s(machine) < 1.3
     assert not node.fleet.usable(machine), "heard is not reached"
@@ -198,7 +198,7 @@
 
     world.run(3.0)
     report = report._replace(seq=machine.seq + 1)
-    node.fleet.suspect(machine)
+    node.fleet.commands.suspect(machine)
     assert status(report.seq) == 200, "for a while"
     machine.suspected_at = Instant(node.context.now - node.fleet.silence_limit_s() - 0.1)
     answered = machine.last_answer
@@ -311,7 +311,7 @@
     node, machine = owner_of(world, id)
     assert machine.session == 1
     again(world, member, old)
-    assert len(node.fleet.of_job("j-000500")) == 1  # type: ignore[arg-type]
+    assert len(node.fleet.placements.of_job("j-000500")) == 1  # type: ignore[arg-type]
     world.run(10.0)
     assert len(world.starts) == 1 and not world.broken
 
@@ -345,7 +345,7 @@
     node, machine = owner_of(world, id)
     worker = world.workers[id]
     report = worker.report()
-    node.fleet.apply_report(worker.report(), machine.known)
+    node.fleet.reports.apply(worker.report(), machine.known)
     answers: list[t.ReportAnswer] = []
     world.ask(id, node.context.me, t.ReportReceived(0, report), answers.append)
     world.run(0.1)
@@ -482,9 +482,9 @@
         None,
         (),
     )
-    assert node.fleet.apply_report(live, since)
+    assert node.fleet.reports.apply(live, since)
     job = Job(spec("j-000810"), 1)  # type: ignore[arg-type]
-    placement = node.fleet.place(job, 0, machine, machine.share.next_attempt())
+    placement = node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     node.context.now = Instant(node.context.now + 1.0)
     node.fleet.tick()
     assert placement.active
@@ -495,11 +495,11 @@
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     job = Job(spec("j-000800"), 1)  # type: ignore[arg-type]
-    node.fleet.place(job, 0, machine, machine.share.next_attempt())
-    assert node.fleet.orders(machine, answering=True)
+    node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
+    assert node.fleet.commands.orders(machine, answering=True)
     assert not machine.suspected
     token, number = machine.token_seen, machine.seq + 1
-    node.fleet.apply_report(
+    node.fleet.reports.apply(
         t.Report(
             machine.id,
             machine.addr,
@@ -534,9 +534,9 @@
     )
     since = machine.known
     live = old._replace(session=Session(1), seq=0, token=Token(0))
-    assert node.fleet.apply_report(live, since)
+    assert node.fleet.reports.apply(live, since)
     assert machine.session == 1 and machine.suspected
-    assert not node.fleet.apply_report(old)
+    assert not node.fleet.reports.apply(old)
     assert machine.session == 1
 
 
@@ -546,7 +546,7 @@
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     assert not machine.suspected
-    node.fleet.apply_report(
+    node.fleet.reports.apply(
         t.Report(
             machine.id,
             machine.addr,
@@ -568,18 +568,18 @@
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     job = Job(spec("j-000820"), 1)  # type: ignore[arg-type]
-    placement = node.fleet.place(job, 0, machine, machine.share.next_attempt())
+    placement = node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     node.context.effects.clear()
-    node.fleet.push()
+    node.fleet.commands.push()
     command = next(e for e in node.context.effects if isinstance(e, t.Command))
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
-    assert not placement.active and placement.task not in node.fleet.where
+    assert not placement.active and placement.task not in node.fleet.placements.by_task
     # One that an answer has carried meanwhile may be there.
     node.context.now = Instant(node.context.now + 1.1)
-    other = node.fleet.place(job, 1, machine, machine.share.next_attempt())
+    other = node.fleet.placements.place(job, 1, machine, machine.share.next_attempt())
     node.context.effects.clear()
-    node.fleet.push()
+    node.fleet.commands.push()
     command = next(e for e in node.context.effects if isinstance(e, t.Command))
-    node.fleet.orders(machine, answering=True)
+    node.fleet.commands.orders(machine, answering=True)
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
     assert other.active
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -57,15 +57,15 @@
     }
     assert shares <= taken
     # Before any input tells of it: it concludes nothing about leases that another renewed.
-    held = list(node.fleet.where)
+    held = list(node.fleet.placements.by_task)
     node.fleet._looked_at = Instant(0.0)
     node.context.now = Instant(world.now)
     node.fleet.tick()
-    assert held and list(node.fleet.where) == held
+    assert held and list(node.fleet.placements.by_task) == held
     # What its worker reports is not answered, nothing is sent.
     node.scheduler._dirty = True
     for machine in list(node.fleet.machines.values()):
-        node.fleet._dirty[machine.id] = None
+        node.fleet.commands._dirty[machine.id] = None
         report = world.workers[machine.id].report()
         effects = node.handle(world.now, t.ReportReceived(-1, report))
         assert not any(isinstance(e, t.Command) for e in effects)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -112,7 +112,7 @@
     elif action == "stop_gang":  # as for a replica, or a machine that is emptied
         for node in world.nodes.values():
             for work in list(node.scheduler.work.values()) if node is not None else ():
-                placements = node.fleet.of_job(work.job.uid)
+                placements = node.fleet.placements.of_job(work.job.uid)
                 if work.job.spec.gang and placements and node.shares.may_command(work.share):
                     node.scheduler.gangs.stop(placements[pick % len(placements)])
     elif action == "cancel" and world.told:
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -97,7 +97,7 @@
     for _ in range(15):
         for m in node.fleet.of_share(share.number):
             for placement in list(m.placements.values()):
-                node.fleet._remove(placement, "done")
+                node.fleet.placements.remove(placement, "done")
         scheduler.work = {w.job.uid: w for w in (old, new)}
         old.finished = new.finished = 0
         old.pending.update({n: None for n in range(20)})
@@ -124,7 +124,7 @@
     for m in node.fleet.of_share(share.number):  # beyond its guarantee of 4 CPUs
         for _ in range(2):
             number = next(iter(borrower.pending))
-            node.fleet.place(borrower.job, number, m, share.next_attempt())
+            node.fleet.placements.place(borrower.job, number, m, share.next_attempt())
 
     def stoppable(job: Job) -> bool:
         return scheduler.preemption.victims(job, machine, True, {}) is not None
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -134,22 +134,22 @@
     world: World = ready(machines=12)
     node, _ = owner_of_some(world)
     fleet = node.fleet
-    fleet._most_open = 4
+    fleet.commands._most_open = 4
     machines = list(fleet.machines.values())
     assert len(machines) >= 3
     for machine in machines:
         machine.do_after = Instant(0.0)
-        fleet.suspect(machine)
+        fleet.commands.suspect(machine)
     told: set[str] = set()
     for _ in range(len(machines)):
-        fleet.push()
+        fleet.commands.push()
         commands = [e for e in node.context.effects if isinstance(e, t.Command)]
         node.context.effects.clear()
-        assert fleet._open <= 2
+        assert fleet.commands._open <= 2
         told |= {c.addr for c in commands}
         for command in commands:
             command.tag(t.Outcome(command.tag, 0, None, sent=False, began=node.context.now))
-    assert told == {m.addr for m in machines} and not fleet._open
+    assert told == {m.addr for m in machines} and not fleet.commands._open
 
 
 def test_a_peer_that_does_not_read_holds_no_more_than_a_bounded_queue(
