--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -22,7 +22,8 @@
 from .preemption import Preemption
 from .quota import Quota
 from .shares import Shares
-from .work import Usable, Work, fetch_s, permits, zone_open
+from .turn import Turn
+from .work import Work, fetch_s, permits, zone_open
 
 Score = Callable[[Job, Machine, Size], float]
 
@@ -64,29 +65,21 @@
         self.score = score
         self.within = within  # seconds that a class is promised to start in
 
-    def serve(
-        self,
-        work: Work,
-        usable: Usable,
-        machines: Iterable[Machine],
-        claimed: set[MachineId],
-        unlocated: Size,
-        last: bool,
-    ) -> int:
+    def serve(self, turn: Turn, work: Work, machines: Iterable[Machine], last: bool) -> int:
         """Start all that is pending of the gang, or nothing; returns how many tasks need room.
         Only the `last` try may stop others."""
         job, n = work.job, len(work.pending)
         work.wait_reason = self.gangs.look(work)
         if work.wait_reason or not n:
             return 0
-        if not self.quota.allows(job, unlocated.plus(self.gangs.size(work))):
+        if not self.quota.allows(job, turn.unlocated_of(job.spec.team).plus(self.gangs.size(work))):
             work.wait_reason = "team limit"
             return 0
         fits = [
             m
             for m in machines
             if job.size.fits(m.room)
-            and m.id not in claimed
+            and m.id not in turn.claimed
             and permits(job, m)
             and zone_open(work, m.record.zone)
         ]
@@ -94,7 +87,7 @@
         if plan is None:
             work.wait_reason = NO_ROOM
             if last:
-                self.preemption.make_room_whole(work, usable, claimed)
+                self.preemption.make_room_whole(turn, work)
             return n
         holding = self.shares.owned[work.share]
         attempt = work.attempt if any(work.zones.values()) else None
@@ -164,7 +157,9 @@
 
     # --- gangs that wait long ------------------------------------------------------------
 
-    def reserve(self, waiting: list[Work], usable: Usable) -> dict[MachineId, JobId]:
+    def reserve(
+        self, waiting: list[Work], usable: Callable[[], list[Machine]]
+    ) -> dict[MachineId, JobId]:
         """Single tasks would take whatever falls free before it is enough for a gang. So for those
         that have waited longest, where least is missing, nothing else is started for a while;
         no more machines than they need, none whose work will take long, and a part of all only."""
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -26,6 +26,10 @@
     def minus(self, other: Size) -> Size:
         return Size(self.cpus - other.cpus, self.memory - other.memory, self.gpus - other.gpus)
 
+    def times(self, count: int) -> Size:
+        """What so many tasks of this size take."""
+        return Size(self.cpus * count, self.memory * count, self.gpus * count)
+
 
 NOTHING = Size(0.0, 0.0, 0.0)
 
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -10,14 +10,15 @@
 from .budget import Budget
 from .context import Context
 from .gangs import Gangs
-from .ids import JobId, MachineId, Team
+from .ids import JobId, Team
 from .jobs import Job
 from .machine import Machine, Placement
 from .machines import Fleet
 from .order import Order
 from .placement import NOTHING, Size
 from .quota import Quota
-from .work import Usable, Work, fetch_s, permits, zone_open
+from .turn import Turn
+from .work import Work, fetch_s, permits, zone_open
 
 YOUNG_S = 3.0  # what was placed since is not stopped for a guarantee
 
@@ -40,21 +41,13 @@
         self.budget = budget
         self.work = work
         self.gangs = gangs
-        self.reserved: Mapping[MachineId, JobId] = {}  # machines, each for a gang, this turn
         # Sizes for which, in this turn, nothing could be stopped to make room; by who asks.
         self._hopeless: dict[tuple[Any, ...], list[Size]] = {}
 
     def begin(self) -> None:
         self._hopeless.clear()
 
-    def make_room(
-        self,
-        work: Work,
-        usable: Usable,
-        claimed: set[MachineId],
-        missing: int,
-        within: float = math.inf,
-    ) -> int:
+    def make_room(self, turn: Turn, work: Work, missing: int, within: float = math.inf) -> int:
         """Stop lesser work where the waiting task then fits, and has its image `within`
         seconds; least work lost first. Returns for how many tasks.
 
@@ -99,9 +92,9 @@
         pool = self.budget.sample(
             [
                 m
-                for m in usable()
-                if m.id not in claimed
-                and m.id not in self.reserved
+                for m in turn.usable()
+                if m.id not in turn.claimed
+                and m.id not in turn.reserved
                 and m.below(above) >= enough
                 and permits(job, m)
             ],
@@ -127,7 +120,7 @@
             missing -= 1
             guaranteed -= 1
             made[machine.record.zone] = made.get(machine.record.zone, 0) + 1
-            claimed.add(machine.id)
+            turn.claimed.add(machine.id)
             self._stop(found[1], job)
         return sum(made.values())
 
@@ -136,7 +129,7 @@
             self.context.log("info", f"{victim.task} stopped for {job.uid}")
             self.gangs.stop(victim)
 
-    def make_room_whole(self, work: Work, usable: Usable, claimed: set[MachineId]) -> None:
+    def make_room_whole(self, turn: Turn, work: Work) -> None:
         """The same for a gang: room for all its tasks is made, in one zone if it says so, or for
         none. Only one that lies within its team's guarantee as a whole is served by it."""
         job, n = work.job, len(work.pending)
@@ -148,10 +141,10 @@
             return
         pool = [
             m
-            for m in usable()
-            if m.id not in claimed
+            for m in turn.usable()
+            if m.id not in turn.claimed
             and permits(job, m)
-            and self.reserved.get(m.id, job.uid) == job.uid
+            and turn.reserved.get(m.id, job.uid) == job.uid
             and zone_open(work, m.record.zone)
             and m.below(job.spec.rank - guaranteed) >= job.size.cpus - 1e-6
         ]
@@ -184,7 +177,7 @@
             self._hopeless[asks] = []
             return
         for machine, count in best[1]:
-            claimed.add(machine.id)
+            turn.claimed.add(machine.id)
             self._stop(
                 self.victims(job, machine, guaranteed, self.quota.stopping, count) or [], job
             )
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -2,14 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from .ids import LONG_AGO, Attempt, Instant, MachineId, ShareNo
 from .jobs import Job
 from .machine import Machine, Placement
 
-Usable = Callable[[], list[Machine]]  # the machines of a share that may take tasks
-
 
 class Work:
     """What is left to do of one open job of an owned share."""
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -10,7 +10,6 @@
 from runcourse.core.machine import Machine, Placement, Record
 from runcourse.core.placement import Size
 from runcourse.core.quota import Quota
-from runcourse.core.scheduler import Scheduler
 from runcourse.core.shares import Holding
 from runcourse.core.work import Work, fetch_s
 
@@ -129,10 +128,7 @@
 
 def test_fetches_under_way_share_the_rate() -> None:
     """A replica once waited 113 s on a machine that fetched nine images."""
-    shared = context()
     machine = bare_machine()
-    scheduler = Scheduler.__new__(Scheduler)
-    scheduler.context = shared
     job = Job(spec("j-000001", image="one", image_gb=1.0), 1)  # type: ignore[arg-type]
     other = Job(spec("j-000002", image="two", image_gb=3.0), 1)  # type: ignore[arg-type]
     assert fetch_s(job, machine) == 1.0
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -147,7 +147,8 @@
     assert TaskId(later.uid, 0) not in node.fleet.placements.by_task
     # What can't hold such tasks hides none of them.
     hiding.record = hiding.record._replace(spot=True)
-    assert not node.scheduler._unlocated(holding, node.scheduler._hidden(holding))
+    unlocated_tasks = node.scheduler.unlocated
+    assert not unlocated_tasks.by_team(holding, unlocated_tasks.hiding_places(holding))
     holding.settled = hiding.settled = True
     work.pending = {}
     node.scheduler._turn(holding)
@@ -179,8 +180,10 @@
     job.stage = "cancelled"
     node.scheduler.job_changed(job)
 
+    unlocated_tasks = node.scheduler.unlocated
+
     def unlocated() -> float:
-        found = node.scheduler._unlocated(holding, node.scheduler._hidden(holding))
+        found = unlocated_tasks.by_team(holding, unlocated_tasks.hiding_places(holding))
         return found["team-0"].cpus if found else 0.0  # type: ignore[index]
 
     assert unlocated() == 6.0
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -7,11 +7,12 @@
 from world import World, spec
 
 from runcourse.core.ids import Instant, ShareNo
+from runcourse.core.image_supply import HeldImages
 from runcourse.core.jobs import Job
 from runcourse.core.order import AGED_S
 from runcourse.core.placement import NOTHING
 from runcourse.core.preemption import YOUNG_S
-from runcourse.core.scheduler import AGED_PART
+from runcourse.core.task_placement import AGED_PART
 from runcourse.core.work import Work
 
 
@@ -31,10 +32,10 @@
         for image in ("a", "b") if number < 2 else ("c", "d"):
             m.images[image] = 1.0
     works = [waiting(share.number, image, n, deadline_s=10.0 + n) for n, image in enumerate("cdab")]
-    plenty = scheduler._plentiful(share, works, lambda: machines, machines)
+    plenty = scheduler.image_supply.plentiful(share, works, lambda: machines, machines)
     assert plenty == {"a", "b", "c", "d"}
-    scheduler._held.clear()
-    assert not scheduler._plentiful(share, [], lambda: machines, machines)
+    scheduler.image_supply._held.clear()
+    assert not scheduler.image_supply.plentiful(share, [], lambda: machines, machines)
     # One task's room on a machine that holds a and b: neither the first nor the second takes it.
     for m in node.fleet.of_share(share.number):
         if m is not machines[0]:
@@ -42,7 +43,9 @@
     for work in works:
         work.job.submitted = node.context.now
         scheduler.work[work.job.uid] = work
-    scheduler._held[share.number] = (node.context.now, dict.fromkeys("abcd", 12.0), 24.0)
+    scheduler.image_supply._held[share.number] = HeldImages(
+        node.context.now, dict.fromkeys("abcd", 12.0), 24.0
+    )
     share.settled = True
     scheduler._turn(share)
     placed = {p.job.spec.image for p in machines[0].placements.values() if p.job is not None}
