--- a/runcourse/core/balance.py
+++ b/runcourse/core/balance.py
@@ -5,11 +5,11 @@
 from ..wire.peer_messages import TransferMachine, VacateMachine, YieldMachines
 from .context import Context
 from .demand import Demand, LoadReport, serves
-from .ids import Instant, MachineId, ShareNo
-from .machine import Record
+from .ids import Instant, ShareNo
 from .machines import Fleet
 from .placement import fits_times
 from .shares import Shares
+from .spare_capacity import IdleMachines
 from .transfers import MachineTransfers
 
 VACATE_AFTER_S = 2.0  # work that cheap machines can't take waits so long for an empty one
@@ -37,7 +37,7 @@
     def move_idle(
         self,
         unmet: dict[ShareNo, list[Demand]],
-        idle: dict[ShareNo, list[tuple[float, MachineId, Record]]],
+        idle: IdleMachines,
     ) -> None:
         """Empty machines go towards shares with waiting tasks."""
         for share, needs in unmet.items():
@@ -65,7 +65,7 @@
         self,
         need: Demand,
         others: list[ShareNo],
-        idle: dict[ShareNo, list[tuple[float, MachineId, Record]]],
+        idle: IdleMachines,
     ) -> bool:
         """Is there a zone with empty machines for all that it lacks? Then only those are moved."""
         room: dict[str, int] = {}
--- /dev/null
+++ b/runcourse/core/leadership.py
@@ -0,0 +1,66 @@
+"""Who leads: a leased key that names the leader."""
+
+from __future__ import annotations
+
+from .authority import Authority
+from .context import Context
+from .ids import ABSENT, Stamp
+from .store import LEADER, Store
+
+
+class Leadership:
+    """Claims the lead when nobody has it, and tells who does."""
+
+    def __init__(self, context: Context, store: Store, authority: Authority) -> None:
+        self.context = context
+        self.store = store
+        self.authority = authority
+        self._claiming = False
+
+    @property
+    def leading(self) -> bool:
+        """May this node act as the leader now?"""
+        value = self.store.get(LEADER)
+        return (
+            bool(value)
+            and value["inc"] == self.authority.inc
+            and self.authority.live
+            and self.context.now < self.authority.until
+        )
+
+    def leader(self) -> str | None:
+        """The member that leads, if any."""
+        value = self.store.get(LEADER)
+        return str(value["member"]) if value else None
+
+    def claim(self) -> None:
+        """Try to lead if nobody does."""
+        if (
+            self._claiming
+            or not self.authority.live
+            or self.authority.lease is None
+            or self.store.get(LEADER)
+            or self.context.now >= self.authority.until
+        ):
+            return
+        self._claiming = True
+
+        def done(result: str, stamp: Stamp) -> None:
+            self._claiming = False
+
+        self.store.commit(
+            [(LEADER, ABSENT)],
+            [
+                (
+                    LEADER,
+                    {"member": self.context.me, "inc": self.authority.inc},
+                    self.authority.lease,
+                )
+            ],
+            done,
+            Store.URGENT,
+        )
+
+    def guard(self) -> tuple[str, int]:
+        """The condition that makes a late change of a former leader fail."""
+        return (LEADER, int(self.store.stamp(LEADER)))
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -149,8 +149,8 @@
         self.fleet.tick()
         self.scheduler.tick()
         self.rental.tick()
-        if self.rental.leading:
-            self.versions.note(self.rental.guard())
+        if self.rental.leadership.leading:
+            self.versions.note(self.rental.leadership.guard())
         self.confirmations.tick()
         now = self.context.now
         if now >= self._gossip_at + GOSSIP_EVERY_S:
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -24,7 +24,7 @@
         node = self.node
         plain = [
             ("runcourse_entitled", "1 while this controller may act", node.authority.entitled()),
-            ("runcourse_leading", "1 on the leader", node.rental.leading),
+            ("runcourse_leading", "1 on the leader", node.rental.leadership.leading),
             (
                 "runcourse_contact_age_seconds",
                 "since the state service answered",
--- a/tests/production.py
+++ b/tests/production.py
@@ -80,8 +80,9 @@
         assert found is not None
         self.types = found["types"]
         self.node = found["node"].Node(platform, operators, rng, now)
-        # Under its present name, for tests that look at nodes of either version.
+        # Under their present names, for tests that look at nodes of either version.
         self.node.shares.owned = self.node.shares.mine
+        self.node.rental.leadership = self.node.rental
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.node, name)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -11,7 +11,7 @@
 
 
 def leader(world: World) -> Node:
-    return next(n for n in world.nodes.values() if n is not None and n.rental.leading)
+    return next(n for n in world.nodes.values() if n is not None and n.rental.leadership.leading)
 
 
 def listed(world: World) -> tuple[t.CloudMachine, ...]:
@@ -66,14 +66,14 @@
     """Work waits for no machine that is overdue; where all are slow nothing is hired twice."""
     rental = leader(ready(machines=1)).rental
     type_ = world_type()
-    usual, returned = rental._late_after(type_), rental._boot_limit(type_)
+    usual, returned = rental.boots.late_after(type_), rental.boots.limit(type_)
     assert usual < returned <= 2.5 * type_.boot_s + 5.0
-    rental._boots[type_.name] = deque([0.05, 0.9])
-    assert rental._late_after(type_) == usual
-    rental._boots[type_.name] = deque([2.6, 2.9])
-    assert rental._late_after(type_) > 3.0 * type_.boot_s
-    rental._boots[type_.name] = deque([40.0])
-    assert rental._late_after(type_) <= 4.0 * type_.boot_s + 2.0
+    rental.boots.seen[type_.name] = deque([0.05, 0.9])
+    assert rental.boots.late_after(type_) == usual
+    rental.boots.seen[type_.name] = deque([2.6, 2.9])
+    assert rental.boots.late_after(type_) > 3.0 * type_.boot_s
+    rental.boots.seen[type_.name] = deque([40.0])
+    assert rental.boots.late_after(type_) <= 4.0 * type_.boot_s + 2.0
 
 
 def world_type() -> t.MachineType:
@@ -92,6 +92,6 @@
     node = leader(ready(machines=1))
     pauses = []
     for _ in range(6):
-        node.rental._note_refusal("m4", "a", False)
-        pauses.append(node.rental._refused[("m4", "a", False)][0])
+        node.rental.hiring.note_refusal(("m4", "a", False))
+        pauses.append(node.rental.hiring.refused[("m4", "a", False)][0])
     assert pauses == sorted(pauses) and pauses[0] >= 4.0 and pauses[-1] == 60.0
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -25,7 +25,7 @@
 
 
 def leader(world: World) -> str:
-    return next(m for m, n in world.nodes.items() if n is not None and n.rental.leading)
+    return next(m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading)
 
 
 def owners(world: World) -> Counter[str]:
@@ -132,7 +132,9 @@
 
 
 def leader_or_none(world: World) -> str | None:
-    return next((m for m, n in world.nodes.items() if n is not None and n.rental.leading), None)
+    return next(
+        (m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading), None
+    )
 
 
 @BOTH
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -10,6 +10,7 @@
 
 from runcourse.core import types as t
 from runcourse.core.demand import LoadReport, share_load
+from runcourse.core.hiring import HireOption
 from runcourse.core.machine import Placement
 from runcourse.core.node import Node
 from runcourse.core.work import Work
@@ -174,8 +175,8 @@
 
     assert left({zone: 1.0, other: 1.0, third: 1.0}) > 0, "eight tasks' room, in three zones"
     assert need.lacks[zone] == 6 - need.room[zone] - 2
-    options = [(1.0, node.fleet.types["m4"], z, False) for z in (zone, other, third)]
-    assert {o[2] for o in rental._one_zone(share, need, options)} == {zone}
+    options = [HireOption(1.0, node.fleet.types["m4"], z, False) for z in (zone, other, third)]
+    assert {o.zone for o in rental.hiring._one_zone(share, need, options)} == {zone}
     assert need.count == need.lacks[zone], "only what is missing there"
     assert left({zone: 2.0}) == 0
 
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -132,7 +132,9 @@
 def test_a_leader_that_stood_still_hires_nothing_twice(members: tuple[str, ...]) -> None:
     world = World(machines=0, members=members)
     world.run(4.0)
-    leader = next(m for m, n in world.nodes.items() if n is not None and n.rental.leading)
+    leader = next(
+        m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading
+    )
     other = next(m for m in members if m != leader)
     world.capacity = 8
     world.stall(leader, 9.0)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -61,10 +61,10 @@
 
 def keep_reports(world: World) -> None:
     kept = [(w.id, w.report()) for w in world.workers.values() if w.alive]
-    before = {m: n.rental.leading for m, n in world.nodes.items() if n is not None}
+    before = {m: n.rental.leadership.leading for m, n in world.nodes.items() if n is not None}
 
     def look(left: int) -> None:
-        now = {m: n.rental.leading for m, n in world.nodes.items() if n is not None}
+        now = {m: n.rental.leadership.leading for m, n in world.nodes.items() if n is not None}
         if any(leads and not before.get(m) for m, leads in now.items()) or left == 0:
             for _, report in kept:
                 for m in world.members:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -489,9 +489,9 @@
         [f"type-{n:03d}" + "x" * 100, 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ["a", "b"]]
         for n in range(60)
     ]
-    assert len(node.rental._catalog_pages(rows)) == 1, "as long as the former version may read it"
+    assert len(node.rental.catalogue.pages(rows)) == 1, "as long as the former version may read it"
     node.store.values["rc/format"] = {"version": 2}
-    pages = node.rental._catalog_pages(rows)
+    pages = node.rental.catalogue.pages(rows)
     assert max(map(json_size, pages.values())) <= LEAST
     for key, page in sorted(pages.items()):
         node.store._change(key, page, Stamp(50))
--- a/tests/test_two_troubles.py
+++ b/tests/test_two_troubles.py
@@ -47,7 +47,9 @@
 
 
 def leader(world: World) -> str | None:
-    return next((m for m, n in world.nodes.items() if n is not None and n.rental.leading), None)
+    return next(
+        (m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading), None
+    )
 
 
 def end_of(world: World, member: str, back_s: float) -> None:
