--- a/runcourse/__main__.py
+++ b/runcourse/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line with `python -m runcourse`."""
+
 import sys
 
 from .cli import main
--- a/runcourse/cli.py
+++ b/runcourse/cli.py
@@ -64,6 +64,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run one command; returns the process's exit code."""
     args = _parser().parse_args(argv)
     _logging()
     try:
--- a/runcourse/client.py
+++ b/runcourse/client.py
@@ -21,6 +21,7 @@
 
 
 def run_client(command: str, api: str, what: str) -> int:
+    """Send one request of a user and print the answer; returns the exit code."""
     try:
         host, port = address(api, "--api")
         method, target, body = _request(command, what)
@@ -61,6 +62,7 @@
 
 
 def run_inspect(internal: str) -> int:
+    """Print a controller's view of the service; returns the exit code."""
     try:
         status = read_status(*address(internal, "--internal"))
     except SettingsError as problem:
--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -24,17 +24,23 @@
 
 
 class Peer(Struct, frozen=True):
+    """Another controller."""
+
     member: Name
     area: Name
     addr: Name
 
 
 class Services(Struct, frozen=True):
+    """Addresses of the outside systems."""
+
     cloud: Name
     state: Name
 
 
 class TeamSettings(Struct, frozen=True):
+    """A team's guarantee and limit; 0 stands for none."""
+
     name: Name
     cpus: NonNegative = 0.0
     cpus_max: NonNegative = 0.0
@@ -43,6 +49,8 @@
 
 
 class Objective(Struct, frozen=True, rename={"job_class": "class"}):
+    """An aim of the users; what of it a kind needs not is None."""
+
     kind: Name
     job_class: str | None = None
     share: float | None = None
@@ -51,6 +59,8 @@
 
 
 class WorkerSettings(Struct, frozen=True):
+    """The times of workers and gangs, and the time that a cancellation has."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
@@ -68,6 +78,8 @@
 
 
 class StateSettings(Struct, frozen=True):
+    """The limits of the state service, those of today and those to come."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive = 16.0
@@ -87,6 +99,8 @@
 
 
 class StateLimits(NamedTuple):
+    """The limits that new requests keep to."""
+
     rps: float  # requests a second, of all nodes together
     write_rps: float  # changes a second, of all nodes together
     value_bytes: int  # of one value in its JSON form
@@ -94,11 +108,15 @@
 
 
 class CloudSettings(Struct, frozen=True):
+    """The rate and the list's lag of the cloud."""
+
     rps: Positive
     list_lag_s: NonNegative = 5.0
 
 
 class Sockets(NamedTuple):
+    """How the process's sockets are divided."""
+
     commands: int  # to workers, open at once
     kept: int  # idle ones to workers
     reports: int  # of workers
@@ -106,6 +124,8 @@
 
 
 class Quota(Struct, frozen=True):
+    """What the platform grants the process."""
+
     core_share: Positive = 1.0
     memory_mb: Positive = 256.0
     fd_limit: Annotated[int, Meta(ge=16)] = 1024
@@ -125,6 +145,8 @@
 
 
 class Deployment(Struct, frozen=True):
+    """Everything in the platform's file that is the same on all controllers."""
+
     workers: WorkerSettings
     state: StateSettings
     cloud: CloudSettings
@@ -137,6 +159,8 @@
 
 
 class Platform(Struct, frozen=True):
+    """The platform's settings file."""
+
     member: Name
     area: Name
     api_addr: Name
@@ -161,6 +185,7 @@
 
 
 def address(text: str, where: str) -> tuple[str, int]:
+    """Host and port of an address; `where` names the field in an error."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{where}: {text!r} is not an address of the form host:port")
@@ -175,6 +200,7 @@
 
 
 def load_platform(path: Path) -> Platform:
+    """Read and check the platform's settings file."""
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as problem:
--- a/runcourse/core/__init__.py
+++ b/runcourse/core/__init__.py
@@ -0,0 +1,1 @@
+"""The core: state machines without input, output or clock."""
--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -24,6 +24,8 @@
 
 
 class Authority:
+    """This node's lease and the quorum grants that extend its authority in an outage."""
+
     def __init__(
         self,
         context: Context,
@@ -85,13 +87,16 @@
         return max(self.until, votes[needed - 1])
 
     def entitled(self) -> bool:
+        """May this node act now?"""
         return self.context.now < self.end()
 
     def live_inc(self, member: Member) -> Incarnation | None:
+        """The incarnation of the member whose lease stands, if any."""
         value = self.store.get(LIVE + member)
         return Incarnation(str(value["inc"])) if value else None
 
     def live_members(self) -> list[Member]:
+        """The members whose leases stand."""
         return [m for m in self.context.members if self.live_inc(m) is not None]
 
     def attests(self, member: Member, inc: Incarnation) -> bool:
@@ -102,6 +107,7 @@
     # --- the lease -----------------------------------------------------------------------
 
     def tick(self) -> None:
+        """Obtain or renew the lease, and ask for quorum grants when it runs out."""
         now = self.context.now
         if not self.store.ready:
             return
@@ -257,6 +263,7 @@
         )
 
     def handle_grant_response(self, member: Member, message: GrantResponse) -> None:
+        """A peer answered a request for a quorum grant."""
         sent = self._asked_at.get(message.number)
         if sent is None or message.inc != self.inc:
             return
--- a/runcourse/core/balance.py
+++ b/runcourse/core/balance.py
@@ -18,6 +18,8 @@
 
 
 class Balance:
+    """The leader's requests to owners for machines that other shares need more."""
+
     def __init__(
         self,
         context: Context,
--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -10,14 +10,18 @@
 
 
 class Budget:
+    """Counts what a turn weighs."""
+
     def __init__(self, context: Context) -> None:
         self.context = context
         self._weighed = 0
 
     def begin(self) -> None:
+        """A turn begins."""
         self._weighed = 0
 
     def cost_s(self) -> float:
+        """Seconds by which the turn's work puts off the next one."""
         return self._weighed / WEIGHED_PER_S
 
     def sample(self, machines: list[Machine], least: int = 0) -> list[Machine]:
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -46,6 +46,8 @@
 
 
 class Confirmations:
+    """Collects the evidence and tells those who wait for it."""
+
     def __init__(
         self, context: Context, store: Store, authority: Authority, shares: Shares, jobs: Jobs
     ) -> None:
@@ -89,6 +91,7 @@
         self._ask(job, inquiry)
 
     def certain(self, job: Job) -> bool:
+        """Is there enough evidence that the cancellation may be told?"""
         uid = job.uid
         if uid in self._confirmed:
             return True
@@ -142,6 +145,7 @@
         return CancellationAck(uid, owns)
 
     def record_ack(self, member: Member, uid: JobId, owner: bool) -> None:
+        """A peer says that it knows of the cancellation, or that it owns the job."""
         if uid in self._confirmed:
             return
         if owner:
@@ -172,6 +176,7 @@
             waiter(sure)
 
     def tick(self) -> None:
+        """Ask again for evidence, and give up what takes too long."""
         for uid, inquiry in list(self._inquiries.items()):
             job = self.jobs.get(uid)
             if job is not None and self.certain(job):
--- a/runcourse/core/context.py
+++ b/runcourse/core/context.py
@@ -15,6 +15,8 @@
 
 @dataclass(slots=True)
 class Context:
+    """Settings, time, randomness and outbox, shared by the modules of one node."""
+
     platform: Platform
     operators: Operators
     rng: random.Random
@@ -33,9 +35,11 @@
 
     @property
     def majority(self) -> int:
+        """How many nodes are more than half of all."""
         return len(self.members) // 2 + 1
 
     def home(self, share: ShareNo) -> Member:
+        """The member that owns the share when all are up."""
         return self.members[share]
 
     @property
@@ -48,4 +52,5 @@
         self.effects.append(effect)
 
     def log(self, level: str, text: str) -> None:
+        """Have a line logged."""
         self.emit(Log(level, text))
--- a/runcourse/core/demand.py
+++ b/runcourse/core/demand.py
@@ -59,18 +59,22 @@
 
     @property
     def age(self) -> float:
+        """Seconds since the oldest of the tasks was submitted."""
         return self.entry.age
 
     @property
     def rank(self) -> int:
+        """Priority of the tasks; lower is more urgent."""
         return self.entry.rank
 
     @property
     def spot(self) -> bool:
+        """May the tasks use spot machines?"""
         return self.entry.spot
 
     @property
     def types(self) -> list[str] | None:
+        """Allowed machine types; None: any."""
         return self.entry.types
 
 
@@ -87,6 +91,7 @@
 
 
 def serves(need: Demand, type_: str, zone: str, spot: bool) -> bool:
+    """May tasks of the demand go to machines of that type, zone and kind?"""
     return (
         (need.types is None or type_ in need.types)
         and (need.zone is None or zone == need.zone)
--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -18,6 +18,8 @@
 
 
 class Draining:
+    """Stops or moves what is on machines that are to fall empty."""
+
     def __init__(
         self,
         context: Context,
@@ -186,6 +188,7 @@
         self.gangs.stop(placement)
 
     def tick(self) -> None:
+        """Go on with the machines under notice and those being emptied."""
         for machine in self.fleet.machines.values():
             if machine.notice_until is not None and self.shares.may_command(machine.share.number):
                 self._leave(machine)
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -21,6 +21,8 @@
 
 
 class Failures:
+    """Counts failures by machine and job, sets machines aside, and puts jobs off."""
+
     def __init__(self, context: Context, fleet: Fleet, changed: Callable[[], None]) -> None:
         self.context = context
         self.fleet = fleet
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -18,6 +18,8 @@
 
 
 class Finishes:
+    """Stores finished tasks, many in one change."""
+
     def __init__(self, context: Context, store: Store, shares: Shares) -> None:
         self.context = context
         self.store = store
@@ -26,13 +28,16 @@
         self._small = False  # a page was too large for the state service
 
     def add(self, work: Work, number: int) -> None:
+        """The task is finished and not stored yet."""
         work.finished |= 1 << number
         self._unstored[work.job.uid] = work
 
     def drop(self, uid: JobId) -> None:
+        """The job needs no more stores from here."""
         self._unstored.pop(uid, None)
 
     def flush(self) -> None:
+        """Store what is due."""
         now = self.context.now
         for work in list(self._unstored.values()):
             if work.flushing or now < work.retry_at:
@@ -46,6 +51,7 @@
             self.store_some(work, complete)
 
     def store_some(self, work: Work, complete: bool) -> None:
+        """Store finished tasks of the job; `complete`: all of them are."""
         job = work.job
         bits = work.finished
         work.flushing = True
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -37,12 +37,16 @@
 
 
 class Plan(NamedTuple):
+    """Where all tasks of a gang would go."""
+
     slowest: float  # seconds until the last image is there
     score: float
     places: list[tuple[int, Machine]]  # task numbers and where they go
 
 
 class GangPlacement:
+    """Plans and starts whole gangs."""
+
     def __init__(
         self,
         context: Context,
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -28,6 +28,8 @@
 
 
 class Gangs:
+    """Keeps the phase of each gang and stops gangs as a whole."""
+
     def __init__(self, context: Context, fleet: Fleet, work: Mapping[JobId, Work]) -> None:
         self.context = context
         self.fleet = fleet
@@ -49,6 +51,7 @@
             work.ending = True
 
     def running(self, work: Work) -> None:
+        """All its tasks run."""
         work.started = True
         work.incomplete = 0
 
@@ -128,6 +131,7 @@
         return ""
 
     def phase(self, work: Work) -> str:
+        """The gang's phase by name."""
         if not self.fleet.placements.of_job(work.job.uid):
             return "idle"
         return "ending" if work.ending else "running" if work.started else "placed"
--- a/runcourse/core/ids.py
+++ b/runcourse/core/ids.py
@@ -39,6 +39,7 @@
 
 @lru_cache(maxsize=16384)  # each report lists what the one before did, mostly
 def parse_task(text: str) -> TaskId:
+    """The id that a text stands for; raises ValueError."""
     job, _, index = text.rpartition("/")
     if not job or not index.isdigit():
         raise ValueError(f"not a task id: {text!r}")
@@ -56,4 +57,5 @@
 
 
 def later(at: Instant, seconds: float) -> Instant:
+    """The instant some seconds later."""
     return Instant(at + seconds)
--- a/runcourse/core/inventory.py
+++ b/runcourse/core/inventory.py
@@ -26,6 +26,8 @@
 
 
 class Inventory:
+    """The leader's view of what the cloud has given."""
+
     def __init__(
         self,
         context: Context,
@@ -63,11 +65,13 @@
         self._missing.clear()
 
     def tick(self) -> None:
+        """Read the cloud's list when it is time."""
         lag = self.context.platform.settings.cloud.list_lag_s
         if not self._listing and self.context.now >= self._list_at + max(lag / 2, 3.0):
             self._list()
 
     def adopting(self) -> list[Record]:
+        """Records that are being stored."""
         return list(self._adopting.values())
 
     def tidy(self) -> None:
@@ -191,6 +195,7 @@
                 )
 
     def handle_unknown_machine(self, message: UnknownMachine) -> None:
+        """A peer had a report of a machine without a record."""
         if self.leading():
             self._check_unknown(message.id, message.addr, message.type, message.zone, message.spot)
 
@@ -296,6 +301,7 @@
         )
 
     def release_leaving(self) -> None:
+        """Return the machines that are marked as leaving."""
         later, self._drop_later = self._drop_later, []
         self._drop_records(later)
         leaving = [
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -48,6 +48,7 @@
 
     @property
     def size(self) -> Size:
+        """What one task takes."""
         return Size(self.cpus, self.memory, self.gpus)
 
 
@@ -81,9 +82,11 @@
 
     @property
     def final(self) -> bool:
+        """Is it done or cancelled?"""
         return self.stage != "accepted"
 
     def is_done(self, index: int) -> bool:
+        """Is the task stored as finished?"""
         return bool(self.done_bits >> index & 1)
 
     def page(self, number: int, extra: int, length: int = PAGE_BITS) -> dict[str, Any]:
@@ -93,6 +96,7 @@
         return {"bits": f"{bits:x}"}
 
     def add_done(self, bits: int) -> None:
+        """Count finished tasks, given as bits."""
         self.done_bits |= bits
         self.done_count = self.done_bits.bit_count()
 
@@ -108,15 +112,18 @@
         self._told: dict[JobId, None] = {}  # cancellations that peers know of, not read yet
 
     def get(self, uid: JobId) -> Job | None:
+        """The job, if it is known."""
         return self._jobs.get(uid)
 
     def __len__(self) -> int:
         return len(self._jobs)
 
     def open_jobs(self) -> Collection[Job]:
+        """Jobs that are neither done nor cancelled."""
         return self._open.values()
 
     def apply_job(self, uid: JobId, value: dict[str, Any], stamp: Stamp, now: float) -> Job:
+        """Take what the state service holds of a job."""
         job = self._jobs.get(uid)
         if job is None:
             job = Job(msgspec.convert(value["spec"], JobSpec), stamp)
@@ -157,6 +164,7 @@
     def apply_page(
         self, uid: JobId, page: int, value: dict[str, Any], length: int = PAGE_BITS
     ) -> None:
+        """Take a page of finished tasks, of `length` tasks each."""
         bits = int(str(value["bits"]), 16) << (page * length)
         job = self._jobs.get(uid)
         if job is None:
@@ -186,6 +194,7 @@
 
 
 def job_value(spec: JobSpec, stage: str) -> dict[str, Any]:
+    """A job as it is stored."""
     return {"spec": msgspec.to_builtins(spec), "stage": stage}
 
 
@@ -196,4 +205,5 @@
 
 
 def owner_team(spec: JobSpec) -> Team:
+    """The team that the job belongs to."""
     return Team(spec.team)
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -46,6 +46,7 @@
     stamp: Stamp
 
     def value(self, **changes: Any) -> dict[str, Any]:
+        """The record as it is stored, with changes."""
         record = self._replace(**changes)
         return {
             "share": record.share,
@@ -57,6 +58,8 @@
 
 
 class Placement:
+    """One attempt of a task on a machine."""
+
     __slots__ = (
         "attempt",
         "cause",
@@ -102,10 +105,13 @@
 
     @property
     def active(self) -> bool:
+        """Does it hold room?"""
         return self.stage != "ended"
 
 
 class Machine:
+    """One machine owned here, and what is known of its worker."""
+
     __slots__ = (
         "added",
         "addr",
@@ -196,6 +202,7 @@
 
     @property
     def token(self) -> Token:
+        """The fencing token of the next command."""
         return make_token(Stamp(max(self.share.epoch, self.record.stamp)), self.counter)
 
     @property
@@ -204,19 +211,23 @@
         return make_token(Stamp(max(self.share.epoch, self.record.stamp)), 0)
 
     def set_type(self, type_: MachineType | None) -> None:
+        """Its type became known, or changed."""
         self.type = type_
         self.use(self.used)
 
     def use(self, used: Size) -> None:
+        """Set what is allocated on it."""
         self.used = used
         self.room = self.type.size.minus(used) if self.type else NOTHING
 
     def raise_fence(self) -> Token:
+        """Raise the token and return it: earlier commands can't be carried out any more."""
         self.counter += 1
         return self.token
 
     @property
     def known(self) -> Known:
+        """What is known of the worker now."""
         return Known((self.session, self.seq), self.token_seen)
 
     @property
@@ -225,11 +236,13 @@
         return self.token_seen < self.suspect_token
 
     def mark_suspected(self, now: Instant) -> None:
+        """Until the worker shows a token raised now, it counts as not reached."""
         if not self.suspected:
             self.suspected_at = now
         self.suspect_token = self.raise_fence()
 
     def count_rank(self, placement: Placement, sign: int) -> None:
+        """Count the placement's CPUs by rank; `sign`: 1 to add, -1 to take away."""
         if placement.job is not None:
             rank = STOPPING if placement.stopping else placement.job.spec.rank
             self.ranks[rank] = self.ranks.get(rank, 0.0) + sign * placement.size.cpus
@@ -239,6 +252,7 @@
         return self.room.cpus + sum(cpus for r, cpus in self.ranks.items() if r > rank)
 
     def holds(self, task: TaskId) -> bool:
+        """Does the machine list any attempt of the task?"""
         return any(t == task for t, _ in self.placements)
 
     def remember_image(self, job: Job) -> None:
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -160,20 +160,24 @@
             self.observer.changed()
 
     def gain(self, holding: Holding) -> None:
+        """The share is owned here from now on."""
         for id, record in self.records.items():
             if record.share == holding.number:
                 self._add(id, record, holding)
 
     def lose(self, share: ShareNo) -> None:
+        """The share is not owned here any more."""
         for machine in list(self.of_share(share)):
             self._drop(machine.id, "share lost")
 
     def of_share(self, share: ShareNo) -> list[Machine]:
+        """The machines of a share owned here."""
         return list(self._of_share.get(share, {}).values())
 
     # --- time ----------------------------------------------------------------------------
 
     def tick(self) -> None:
+        """Note leases that have run out, and shares whose tasks are all located."""
         now = self.context.now
         self.commands.wake_rested()
         if now >= self._looked_at + LOOK_EVERY_S:
@@ -211,6 +215,7 @@
     # --- liveness ------------------------------------------------------------------------
 
     def answered(self, machine: Machine) -> None:
+        """A report of the machine is being answered: its lease counts from now."""
         machine.last_answer = max(machine.last_answer, self.context.now)
 
     def silence_limit_s(self) -> float:
@@ -230,6 +235,7 @@
         return self.context.now - max(machine.suspected_at, machine.share.since)
 
     def silent_s(self, machine: Machine) -> float:
+        """Seconds since the machine was heard."""
         return self.context.now - machine.heard
 
     def silent(self) -> list[str]:
@@ -269,6 +275,7 @@
         )
 
     def learn_addr(self, id: MachineId, addr: str) -> None:
+        """Where the machine's worker listens."""
         if addr and self.addrs.get(id) != addr:
             self.addrs[id] = addr
             machine = self.machines.get(id)
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -56,6 +56,8 @@
 
 
 class Node:
+    """The state machine of one controller, made of the modules of the core."""
+
     def __init__(
         self, platform: Platform, operators: Operators, rng: random.Random, now: Instant
     ) -> None:
@@ -110,6 +112,7 @@
     # --- entry ---------------------------------------------------------------------------
 
     def handle(self, now: float, event: Any) -> list[Any]:
+        """Take an input; returns the effects to carry out."""
         context = self.context
         context.now = Instant(max(now, context.now))
         self._dispatch(event)
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -15,6 +15,8 @@
 
 
 class Order:
+    """Compares waiting jobs by guarantee, rank and the aims of their classes."""
+
     def __init__(self, context: Context, quota: Quota) -> None:
         self.context = context
         self.quota = quota
@@ -62,6 +64,7 @@
         return (*key, tier, job.submitted + spec.deadline_s, job.uid)
 
     def overdue(self, work: Work) -> bool:
+        """Has the array waited for so long that it has a part of its own of all starts?"""
         spec = work.job.spec
         return (
             not spec.service
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -8,11 +8,14 @@
 
 
 class Size(NamedTuple):
+    """CPUs, memory and GPUs of a task or machine."""
+
     cpus: float
     memory: float
     gpus: float = 0.0
 
     def fits(self, room: Size) -> bool:
+        """Is there room for it?"""
         slack = 1e-9
         return (
             self.cpus <= room.cpus + slack
@@ -21,9 +24,11 @@
         )
 
     def plus(self, other: Size) -> Size:
+        """The sum of both."""
         return Size(self.cpus + other.cpus, self.memory + other.memory, self.gpus + other.gpus)
 
     def minus(self, other: Size) -> Size:
+        """What is left without the other."""
         return Size(self.cpus - other.cpus, self.memory - other.memory, self.gpus - other.gpus)
 
     def times(self, count: int) -> Size:
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -58,9 +58,11 @@
     # --- lookups -------------------------------------------------------------------------
 
     def running_of(self, uid: JobId) -> int:
+        """How many tasks of the job run."""
         return self._running.get(uid, 0)
 
     def running_counts(self) -> dict[JobId, int]:
+        """How many tasks run, by job."""
         return dict(self._running)
 
     def of_job(self, uid: JobId) -> list[Placement]:
@@ -70,6 +72,7 @@
     # --- changes -------------------------------------------------------------------------
 
     def place(self, job: Job, index: int, machine: Machine, attempt: Attempt) -> Placement:
+        """Decide that the task goes to the machine: the worker will be told."""
         task = TaskId(job.uid, index)
         placement = Placement(task, attempt, machine, job, self.context.now)
         self.insert(placement)
@@ -77,6 +80,7 @@
         return placement
 
     def insert(self, placement: Placement) -> None:
+        """Add a placement that was decided or found."""
         machine = placement.machine
         machine.placements[(placement.task, placement.attempt)] = placement
         machine.empty_since = None
@@ -118,6 +122,7 @@
             del self._running[job]
 
     def remove(self, placement: Placement, why: str) -> None:
+        """The placement is over, or known to be nowhere, for the reason given."""
         machine = placement.machine
         machine.placements.pop((placement.task, placement.attempt), None)
         active, stage = placement.active, placement.stage
@@ -133,6 +138,7 @@
             self.observer.gone(placement, why)
 
     def stop(self, placement: Placement, grace_s: float = 0.0) -> None:
+        """Have the task stopped, with that much time to save."""
         if not placement.active or (placement.stopping and grace_s >= placement.grace_s):
             return
         placement.forced = placement.stopping  # a second order ends the saving
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -24,6 +24,8 @@
 
 
 class Preemption:
+    """Chooses and stops lesser work."""
+
     def __init__(
         self,
         context: Context,
@@ -45,6 +47,7 @@
         self._hopeless: dict[tuple[Any, ...], list[Size]] = {}
 
     def begin(self) -> None:
+        """A turn begins."""
         self._hopeless.clear()
 
     def make_room(self, turn: Turn, work: Work, missing: int, within: float = math.inf) -> int:
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -24,6 +24,8 @@
 
 
 class Quota:
+    """Counts what teams hold against their limits and guarantees."""
+
     def __init__(self, context: Context) -> None:
         self.teams: dict[Team, TeamLimits] = {
             Team(t.name): TeamLimits(t.cpus, t.gpus, t.cpus_max or math.inf, t.gpus_max or math.inf)
@@ -34,9 +36,11 @@
         self.stopping: dict[Team, Size] = {}  # of what is held, what was told to stop
 
     def held(self, team: Team) -> Size:
+        """What the team's placements take."""
         return self._held.get(team, NOTHING)
 
     def add(self, placement: Placement) -> None:
+        """The placement counts from now on."""
         if placement.job is not None:
             team = Team(placement.job.spec.team)
             self._held[team] = self.held(team).plus(placement.size)
@@ -46,11 +50,13 @@
                 self.stops(placement)
 
     def stops(self, placement: Placement) -> None:
+        """The placement was told to stop."""
         if placement.job is not None:
             team = Team(placement.job.spec.team)
             self.stopping[team] = self.stopping.get(team, NOTHING).plus(placement.size)
 
     def remove(self, placement: Placement) -> None:
+        """The placement counts no longer."""
         if placement.job is not None:
             team = Team(placement.job.spec.team)
             self._held[team] = self.held(team).minus(placement.size)
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -104,6 +104,7 @@
     # --- jobs ----------------------------------------------------------------------------
 
     def job_changed(self, job: Job) -> None:
+        """A job is new, or changed its stage."""
         share = self.shares.of_team(Team(job.spec.team))
         if job.stage == "cancelled":
             self.unlocated.cancelled(job)
@@ -115,11 +116,13 @@
             self._open(job, share)
 
     def gain(self, holding: Holding) -> None:
+        """The share is owned here from now on."""
         for job in self.jobs.open_jobs():
             if self.shares.of_team(Team(job.spec.team)) == holding.number:
                 self._open(job, holding.number)
 
     def lose(self, share: ShareNo) -> None:
+        """The share is not owned here any more."""
         for uid in [u for u, w in self.work.items() if w.share == share]:
             del self.work[uid]
             self.finishes.drop(uid)
@@ -151,6 +154,7 @@
     # --- what the ledger tells -----------------------------------------------------------
 
     def placed(self, placement: Placement) -> None:
+        """A task was placed, or found on a machine."""
         self.quota.add(placement)
         if placement.job is not None and not placement.job.spec.service:
             self.placement.array_task_placed(placement.machine.share.number)
@@ -165,6 +169,7 @@
             self.fleet.placements.stop(placement)
 
     def unplaced(self, placement: Placement) -> None:
+        """A placement counts no longer."""
         self.quota.remove(placement)
         work = self.work.get(placement.task.job)
         if work is not None:
@@ -172,6 +177,7 @@
             work.zones[zone] = work.zones.get(zone, 0) - 1
 
     def stopped(self, placement: Placement) -> None:
+        """A task was told to stop."""
         self.quota.stops(placement)
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
@@ -210,16 +216,19 @@
                 self.gangs.gone(work, placement, why)
 
     def running(self, placement: Placement) -> None:
+        """A task was reported as running."""
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
             self.gangs.running(work)
 
     def changed(self) -> None:
+        """Something changed that may make room: take a turn soon."""
         self._dirty = True
 
     # --- turns ---------------------------------------------------------------------------
 
     def turn(self) -> None:
+        """Start what can be started, if anything changed since the last turn."""
         now = self.context.now
         # Room may open by time alone, as pauses and backoffs end.
         due = self._dirty or (any(self.unmet.values()) and now >= self._next_turn + RETRY_S)
@@ -342,5 +351,6 @@
         return min(count, math.ceil(count * spec.estimate_s / MACHINE_S))
 
     def tick(self) -> None:
+        """Go on with what time alone brings about."""
         self.unlocated.tick()
         self.draining.tick()
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -45,11 +45,14 @@
         self._attempts = 0
 
     def next_attempt(self) -> Attempt:
+        """An attempt number that was never used before."""
         self._attempts += 1
         return make_attempt(self.epoch, self._attempts)
 
 
 class Shares:
+    """The table of owners, and this node's part in it."""
+
     def __init__(
         self,
         context: Context,
@@ -74,6 +77,7 @@
         store.listen(MAPPING, self._mapping_changed)
 
     def all(self) -> list[ShareNo]:
+        """The numbers of all shares."""
         return [ShareNo(n) for n in range(len(self.context.members))]
 
     # --- teams to shares -----------------------------------------------------------------
@@ -110,9 +114,11 @@
     # --- owners --------------------------------------------------------------------------
 
     def key(self, share: ShareNo) -> str:
+        """The stored key of the share."""
         return f"{SHARE}{share}"
 
     def owner(self, share: ShareNo) -> tuple[Member, Incarnation] | None:
+        """The member and incarnation that owns the share, whether it lives or not."""
         value = self.store.get(self.key(share))
         return (Member(value["owner"]), Incarnation(value["inc"])) if value else None
 
@@ -132,6 +138,7 @@
         return (self.key(share), self.owned[share].epoch)
 
     def may_command(self, share: ShareNo) -> bool:
+        """May this node command the share's machines now?"""
         holding = self.owned.get(share)
         # Its transaction succeeded before this node had read everything up to it: what was
         # cancelled until then must be known before anything is answered or commanded.
@@ -169,6 +176,7 @@
                 self.store.sync()
 
     def drop_all(self) -> None:
+        """Authority is lost: nothing is owned any more."""
         for share in list(self.owned):
             del self.owned[share]
             self._on_loss(share)
@@ -195,6 +203,7 @@
         )
 
     def tick(self) -> None:
+        """Take over what has no owner, and hand back what has its home node again."""
         if not self.authority.live or self.context.now >= self.authority.until:
             return
         for member in self.context.members:
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -9,6 +9,7 @@
 
 
 def status_of(node: Node) -> dict[str, Any]:
+    """The node's view as plain values."""
     now = node.context.now
     shares = []
     for number in node.shares.all():
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -52,6 +52,7 @@
         self.at = Instant(0.0)
 
     def refill(self, now: Instant) -> None:
+        """Bring the level up to date."""
         self.level = min(self.burst, self.level + (now - self.at) * self.rate)
         self.at = now
 
@@ -65,6 +66,8 @@
 
 
 class Store:
+    """The copy, its reads and the queue of changes."""
+
     URGENT, OWNER, USER, LATER = range(4)
 
     def __init__(self, context: Context) -> None:
@@ -95,15 +98,19 @@
     # --- copy ----------------------------------------------------------------------------
 
     def listen(self, prefix: str, listener: Listener) -> None:
+        """Have a listener told of changes under the prefix."""
         self._listeners.append((prefix, listener))
 
     def stamp(self, key: str) -> Stamp:
+        """The version of the key; 0 if there is none."""
         return self.stamps.get(key, ABSENT) if key in self.values else ABSENT
 
     def keys(self, prefix: str) -> list[str]:
+        """The keys under the prefix."""
         return [key for key in self.values if key.startswith(prefix)]
 
     def get(self, key: str) -> Any:
+        """The value of the key, or None."""
         return self.values.get(key)
 
     def _change(self, key: str, value: Any, stamp: Stamp) -> None:
@@ -132,6 +139,7 @@
         self._start_read()
 
     def tick(self) -> None:
+        """Start reads and send changes that are due."""
         now = self.context.now
         if self._reading:
             pass
@@ -211,6 +219,7 @@
         return Instant(self.last_synced + FRESH_S)
 
     def note_contact(self, ok: bool, status: int, sent: Instant) -> None:
+        """Note how a request sent then went."""
         if ok:
             self.last_contact = max(self.last_contact, sent)
             self.failing = False
--- a/runcourse/core/transfers.py
+++ b/runcourse/core/transfers.py
@@ -30,6 +30,8 @@
 
 
 class MachineTransfers:
+    """Carries out what the leader asks of an owner."""
+
     def __init__(
         self, context: Context, store: Store, shares: Shares, fleet: Fleet, scheduler: Scheduler
     ) -> None:
@@ -43,6 +45,7 @@
         self._promised: dict[MachineId, tuple[ShareNo, Instant]] = {}  # to be given when empty
 
     def tick(self) -> None:
+        """Return silent machines, transfer promised ones, repeat changes."""
         self._return_silent()
         self._give_promised()
         self._retry()
@@ -206,6 +209,7 @@
                     self.change_record(m, leaving=True)
 
     def ask_owner(self, share: ShareNo, message: MachineRequest) -> None:
+        """Hand a request to the owner of the share, or carry it out here."""
         owner = self.shares.living_owner(share)
         if owner == self.context.me:
             self.handle(message)
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -15,6 +15,8 @@
 
 
 class MachineType(NamedTuple):
+    """A type in the cloud's catalogue."""
+
     name: str
     cpus: float
     memory: float
@@ -28,10 +30,13 @@
 
     @property
     def size(self) -> Size:
+        """What a machine of the type holds."""
         return Size(self.cpus, self.memory, self.gpus)
 
 
 class CloudMachine(NamedTuple):
+    """A machine in the cloud's list."""
+
     id: MachineId
     addr: str
     type: str
@@ -42,6 +47,8 @@
 
 
 class TaskReport(NamedTuple):
+    """What a worker says of one task."""
+
     task: TaskId
     attempt: Attempt
     stage: str  # fetching, waiting (for its gang), running, saving, ended
@@ -50,6 +57,8 @@
 
 
 class Report(NamedTuple):
+    """What a worker says of itself and its tasks."""
+
     machine: MachineId
     addr: str
     type: str
@@ -63,6 +72,8 @@
 
 
 class Order(NamedTuple):
+    """What a worker is told to do with one task."""
+
     op: str  # start, stop, forget
     task: TaskId
     attempt: Attempt
@@ -85,16 +96,22 @@
 
 
 class Poll(msgspec.Struct):
+    """A user asks about a job."""
+
     request: int
     uid: str
 
 
 class Cancel(msgspec.Struct):
+    """A user cancels a job."""
+
     request: int
     uid: str
 
 
 class Health(msgspec.Struct):
+    """The load balancer asks whether this node can take requests."""
+
     request: int
 
 
@@ -107,6 +124,8 @@
 
 
 class Tick(msgspec.Struct):
+    """Time has passed."""
+
     pass
 
 
@@ -124,6 +143,8 @@
 
 
 class PeerMessageReceived(msgspec.Struct):
+    """A message of a peer."""
+
     member: Member
     message: PeerMessage
 
@@ -135,6 +156,8 @@
 
 
 class UserAnswer(msgspec.Struct):
+    """The answer to a user's or the load balancer's request."""
+
     request: int
     status: int
     body: dict[str, Any]
@@ -154,10 +177,14 @@
 
 
 class ReadAll(msgspec.Struct):
+    """Read everything from the state service."""
+
     tag: Any
 
 
 class Follow(msgspec.Struct):
+    """Read the changes since a revision from the state service."""
+
     tag: Any
     since: int
 
@@ -172,11 +199,15 @@
 
 
 class GrantLease(msgspec.Struct):
+    """Obtain a lease from the state service."""
+
     tag: Any
     ttl_ms: int
 
 
 class ExtendLease(msgspec.Struct):
+    """Renew a lease."""
+
     tag: Any
     lease: int
 
@@ -200,14 +231,20 @@
 
 
 class ReadCatalog(msgspec.Struct):
+    """Read the cloud's machine types."""
+
     tag: Any
 
 
 class ListMachines(msgspec.Struct):
+    """Read the cloud's list of machines, all pages."""
+
     tag: Any
 
 
 class Rent(msgspec.Struct):
+    """Ask the cloud for machines; the name is never used again."""
+
     tag: Any
     name: str
     type: str
@@ -217,6 +254,8 @@
 
 
 class Release(msgspec.Struct):
+    """Return machines to the cloud."""
+
     tag: Any
     machines: list[MachineId]
 
@@ -229,5 +268,7 @@
 
 
 class Log(msgspec.Struct):
+    """A line for the log."""
+
     level: str  # debug, info, warning, error
     text: str
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -28,6 +28,8 @@
 
 
 class Users:
+    """Answers users on behalf of the whole service."""
+
     def __init__(
         self,
         context: Context,
@@ -56,6 +58,7 @@
     def refuse(
         self, request: int, status: int = 503, after: float = 1.0, why: str = "not now"
     ) -> None:
+        """Tell the user at once when to come back."""
         self.context.emit(UserAnswer(request, status, {"error": why}, after))
 
     def _state(self, job: Job) -> dict[str, Any]:
@@ -90,6 +93,7 @@
     # --- polls ---------------------------------------------------------------------------
 
     def poll(self, ask: Poll) -> None:
+        """A user asks about a job."""
         uid = JobId(ask.uid)
         if not UID.match(uid):
             self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
@@ -138,6 +142,7 @@
     # --- submissions ---------------------------------------------------------------------
 
     def submit(self, ask: Submit) -> None:
+        """A user submits a job, perhaps again."""
         uid = JobId(ask.uid)
         if uid and self._answer_final(ask.request, uid):
             return
@@ -222,6 +227,7 @@
         )
 
     def tell_owner(self, share: ShareNo, message: PeerMessage) -> None:
+        """Send a message to the owner of the share, if another node is."""
         owner = self.shares.living_owner(share)
         if owner is not None and owner != self.context.me:
             self.context.emit(SendToPeer(owner, message))
@@ -229,6 +235,7 @@
     # --- cancellations -------------------------------------------------------------------
 
     def cancel(self, ask: Cancel) -> None:
+        """A user cancels a job, perhaps again."""
         uid = JobId(ask.uid)
         if not UID.match(uid):
             self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -18,6 +18,8 @@
 
 
 class Versions:
+    """Who was seen with which version, and whether all read the present one."""
+
     def __init__(self, context: Context, store: Store) -> None:
         self.context = context
         self.store = store
@@ -39,6 +41,7 @@
 
     @property
     def all_read(self) -> bool:
+        """Has it been noted that every member reads the present version?"""
         return self.store.get(FORMAT) is not None
 
     def seen(self) -> dict[Member, int | None]:
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -60,10 +60,12 @@
 
 
 def begun(work: Work) -> bool:
+    """Has any task of the job been started or finished?"""
     return bool(work.job.done_bits or work.finished or any(work.zones.values()))
 
 
 def permits(job: Job, machine: Machine) -> bool:
+    """May tasks of the job go to the machine, by type, zone and kind?"""
     spec = job.spec
     record = machine.record
     return (
@@ -108,10 +110,12 @@
 
 
 def fetches_or_holds(image: str, machine: Machine) -> bool:
+    """Does the machine hold the image, or is it under way?"""
     return image in machine.images or image in fetching(machine)
 
 
 def loss(placement: Placement, now: Instant) -> float:
+    """Seconds of work that are lost if the task is stopped now."""
     if placement.stage != "running" or placement.job is None:
         return 0.0
     ran = now - placement.ran_since
@@ -121,5 +125,6 @@
 
 
 def grace(placement: Placement) -> float:
+    """The time that the task needs to save when it is stopped."""
     spec = placement.job.spec if placement.job else None
     return spec.save_s if spec and spec.checkpoint_s > 0 else 0.0
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -35,6 +35,8 @@
 
 
 class Daemon:
+    """One controller as a process."""
+
     def __init__(
         self, platform: Platform, operators: Operators, rng: random.Random | None = None
     ) -> None:
@@ -62,6 +64,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
+        """Serve until cancelled."""
         await self.start()
         gc.collect()
         gc.freeze()
@@ -72,11 +75,13 @@
             await asyncio.sleep(TICK_S)
 
     async def start(self) -> None:
+        """Open the listening sockets."""
         await self._server.start(*address(self._platform.api_addr, "api_addr"))
         await self._links.start(*address(self._platform.internal_addr, "internal_addr"))
         log.info("serving as %s", self._platform.member)
 
     async def close(self) -> None:
+        """Close everything that is open."""
         for task in list(self._tasks):
             task.cancel()
         await self._server.close()
--- a/runcourse/net/__init__.py
+++ b/runcourse/net/__init__.py
@@ -0,0 +1,1 @@
+"""Sockets: HTTP, the outside systems, links between controllers."""
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -65,6 +65,8 @@
 
 
 class StateService(Caller):
+    """Requests to the state service."""
+
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
         self._client = Client(host, port, limit=12)
@@ -88,6 +90,7 @@
             since = page.pairs[-1].key
 
     async def follow(self, root: str, since: int) -> Result:
+        """Changes under the root since a revision."""
         return await self.call(
             self._client,
             "GET",
@@ -98,6 +101,7 @@
         )
 
     async def commit(self, effect: t.Commit) -> Result:
+        """Carry out a transaction."""
         return await self.call(
             self._client,
             "POST",
@@ -109,11 +113,13 @@
         )
 
     async def grant(self, ttl_ms: int) -> Result:
+        """Obtain a lease."""
         return await self.call(
             self._renewals, "POST", "/leases", {"life_ms": ttl_ms}, RENEW_S, wire.granted
         )
 
     async def extend(self, grant: int) -> Result:
+        """Renew a lease."""
         return await self.call(
             self._renewals, "POST", f"/leases/{grant}/extend", {}, RENEW_S, lambda body: None
         )
@@ -144,9 +150,11 @@
         return await self.call(self._client, method, target, body, CLOUD_S, read)
 
     async def catalog(self) -> Result:
+        """The machine types."""
         return await self._paced("GET", "/catalog", None, wire.catalog)
 
     async def list_machines(self) -> Result:
+        """All pages of the machine list."""
         machines: list[t.CloudMachine] = []
         since: str | None = None
         while True:
@@ -162,23 +170,28 @@
             since = page[-1].id
 
     async def rent(self, e: t.Rent) -> Result:
+        """Rent machines."""
         return await self._paced(
             "POST", "/machines", wire.hire(e.name, e.type, e.zone, e.spot, e.number), wire.hired
         )
 
     async def release(self, machines: list[Any]) -> Result:
+        """Return machines."""
         return await self._paced(
             "POST", "/machines/release", wire.release(machines), lambda body: None
         )
 
 
 class Workers(Caller):
+    """Requests to workers, over connections that are kept while they are few."""
+
     def __init__(self, max_clients: int) -> None:
         super().__init__()
         self._max = max_clients
         self._clients: OrderedDict[str, Client] = OrderedDict()
 
     async def command(self, effect: t.Command) -> Result:
+        """Send orders to a worker."""
         client = self._client(effect.addr)
         if client is None:
             return 0, None, False
@@ -194,6 +207,7 @@
         )
 
     async def status(self, addr: str) -> Result:
+        """Ask a worker for its report."""
         client = self._client(addr)
         if client is None:
             return 0, None, False
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -36,6 +36,8 @@
 
 
 class Reply(NamedTuple):
+    """The answer to a request."""
+
     status: int
     body: bytes = b""
     retry_after: float | None = None
@@ -100,6 +102,7 @@
         return len(self._crowded)
 
     async def start(self, host: str, port: int) -> None:
+        """Listen."""
         self._server = await asyncio.start_server(self._serve, host, port, backlog=256)
         self._sweep()
 
@@ -118,10 +121,12 @@
 
     @property
     def port(self) -> int:
+        """The port listened on."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
 
@@ -285,6 +290,7 @@
         self.close()
 
     def close(self) -> None:
+        """Close the connections that are not in use."""
         while self._idle:
             self._idle.pop().writer.transport.abort()
 
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -90,6 +90,7 @@
 
 
 def render(node: Node, connections: int, malformed: int) -> tuple[bytes, str]:
+    """The metrics and their content type."""
     registry = CollectorRegistry()
     registry.register(_Collector(node, connections, malformed))
     return generate_latest(registry), CONTENT_TYPE_PLAIN_0_0_4
--- a/runcourse/net/peers.py
+++ b/runcourse/net/peers.py
@@ -82,6 +82,8 @@
 
 
 class PeerLinks:
+    """All links of one controller, and the questions of operators' tools."""
+
     def __init__(
         self,
         me: Member,
@@ -99,16 +101,19 @@
         self.malformed: dict[str, int] = {}  # lines that were ignored, by kind
 
     async def start(self, host: str, port: int) -> None:
+        """Listen, and keep a connection to each peer."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=LINE_LIMIT)
         self._tasks = [asyncio.create_task(o.run()) for o in self._out.values()]
 
     async def close(self) -> None:
+        """Stop listening and connecting."""
         for task in self._tasks:
             task.cancel()
         if self._server is not None:
             self._server.close()
 
     def send(self, member: Member | None, message: PeerMessage) -> None:
+        """Queue a message for one peer, or for all if `member` is None."""
         line = encode(message)
         for name, out in self._out.items():
             if member is None or member == name:
--- a/runcourse/wire/__init__.py
+++ b/runcourse/wire/__init__.py
@@ -0,0 +1,1 @@
+"""Spellings of messages, and nothing else knows them."""
--- a/runcourse/wire/messages.py
+++ b/runcourse/wire/messages.py
@@ -42,10 +42,12 @@
 
 
 def encode(body: Any) -> bytes:
+    """A body as MessagePack."""
     return _encoder.encode(body)
 
 
 def decode_map(body: bytes) -> dict[str, Any]:
+    """The map that a body holds; raises `Malformed`."""
     try:
         value = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
@@ -101,10 +103,12 @@
 
 
 def valid_uid(text: str) -> bool:
+    """Is the text a job id?"""
     return UID.match(text) is not None
 
 
 def submission(body: dict[str, Any]) -> JobSpec:
+    """The submission that a body holds; raises `Malformed`."""
     s = _convert(body, _Submission)
     if not UID.match(s.uid):
         raise Malformed("uid is not a job id")
@@ -146,6 +150,7 @@
 def job_state(
     uid: str, stage: str, done: int | None = None, running: int | None = None
 ) -> dict[str, Any]:
+    """What a user is told of a job."""
     state: dict[str, Any] = {"uid": uid, "stage": stage}
     if done is not None:
         state["done"] = done
@@ -258,6 +263,7 @@
 
 
 def report(body: bytes) -> Report:
+    """The report that a body holds; raises `Malformed`."""
     try:
         b = _beat_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
@@ -290,14 +296,17 @@
 
 
 def report_answer(token: Token, orders: Sequence[Order]) -> dict[str, Any]:
+    """The answer to a report."""
     return {"baton": token, "orders": [_order(o) for o in orders]}
 
 
 def redirect(member: str | None) -> dict[str, Any]:
+    """The answer that sends a worker to another controller."""
     return {"steward": member} if member else {}
 
 
 def commands(token: Token, session: Session, orders: Sequence[Order]) -> dict[str, Any]:
+    """Orders straight to a worker."""
     return {"baton": token, "tenure": session, "orders": [_order(o) for o in orders]}
 
 
@@ -341,6 +350,7 @@
 
 
 def catalog(body: bytes) -> tuple[MachineType, ...]:
+    """The cloud's machine types; raises `Malformed`."""
     types = _convert(decode_map(body), _Catalog).hulls
     return tuple(
         MachineType(
@@ -360,6 +370,7 @@
 
 
 def cloud_list(body: bytes) -> tuple[tuple[CloudMachine, ...], bool]:
+    """A page of the cloud's list, and whether more follow; raises `Malformed`."""
     page = _convert(decode_map(body), _CloudList)
     return tuple(
         CloudMachine(
@@ -376,18 +387,22 @@
 
 
 def list_path(since: str | None, most: int) -> str:
+    """The request for a page of the cloud's list."""
     return f"/machines?most={most}" + (f"&since={since}" if since else "")
 
 
 def hire(name: str, type_: str, zone: str, spot: bool, number: int) -> dict[str, Any]:
+    """A request to rent machines."""
     return {"hire": name, "hull": type_, "yard": zone, "lendable": spot, "number": number}
 
 
 def hired(body: bytes) -> tuple[MachineId, ...]:
+    """The machines that were rented; raises `Malformed`."""
     return tuple(MachineId(h) for h in _convert(decode_map(body), _Hired).hosts)
 
 
 def release(machines: Iterable[MachineId]) -> dict[str, Any]:
+    """A request to return machines."""
     return {"hosts": list(machines)}
 
 
@@ -395,12 +410,16 @@
 
 
 class Pair(Struct, frozen=True):
+    """A key with its value and version."""
+
     key: str
     value: Any
     stamp: Natural
 
 
 class Page(Struct, frozen=True):
+    """A page of keys."""
+
     pairs: list[Pair]
     epoch: Natural
     has_next: bool = False
@@ -431,10 +450,12 @@
 
 
 def page(body: bytes) -> Page:
+    """A page of keys; raises `Malformed`."""
     return _convert(decode_map(body), Page)
 
 
 def events(body: bytes) -> tuple[list[Change], int]:
+    """The changes that a body holds, and their last revision; raises `Malformed`."""
     e = _convert(decode_map(body), _Events)
     changes: list[Change] = []
     for event in e.events:
@@ -446,10 +467,12 @@
 
 
 def committed(body: bytes) -> int:
+    """The revision of a transaction; raises `Malformed`."""
     return _convert(decode_map(body), _Epoch).epoch
 
 
 def granted(body: bytes) -> int:
+    """The id of a new lease; raises `Malformed`."""
     return _convert(decode_map(body), _Grant).grant
 
 
@@ -469,4 +492,5 @@
 
 
 def task_text(task: TaskId) -> str:
+    """A task's id as text."""
     return str(task)
--- /dev/null
+++ b/tests/combined_failures.py
@@ -0,0 +1,129 @@
+"""Set-up and checks of the tests in which several failures meet."""
+
+from typing import Any
+
+import pytest
+from world import CANCEL_S, FIVE, MEMBERS, World, spec
+
+from runcourse.core import types as t
+
+BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
+TEAMS = 4
+
+
+def fresh(members: tuple[str, ...], machines: int = 9, seed: int = 1, **settings: Any) -> World:
+    settings.setdefault("cpus_max", 100.0)
+    world = World(seed=seed, machines=machines, members=members, **settings)
+    world.run(4.0)
+    return world
+
+
+def busy(members: tuple[str, ...], machines: int = 12, **settings: Any) -> World:
+    """Each team has two replicas, an array of long tasks and a gang that run."""
+    world = fresh(members, machines, **settings)
+    for n in range(TEAMS):
+        world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", service=True, rank=0, cpus=1.0))
+        world.submit(spec(f"j-00001{n}", tasks=3, team=f"team-{n}", cpus=1.0, estimate_s=40.0))
+        world.submit(
+            spec(
+                f"j-00002{n}",
+                tasks=2,
+                team=f"team-{n}",
+                gang=True,
+                cpus=0.5,
+                memory=1.0,
+                together=n % 2 == 0,
+                checkpoint_s=3.0,
+                save_s=0.5,
+                estimate_s=30.0,
+            )
+        )
+    world.until(lambda: len(world.on_machines()) == 7 * TEAMS, 20)
+    return world
+
+
+def leader(world: World) -> str | None:
+    return next(
+        (m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading), None
+    )
+
+
+def end_of(world: World, member: str, back_s: float) -> None:
+    if world.nodes[member] is not None:
+        world.crash(member)
+        world.after(back_s, lambda: world.start(member))
+
+
+def send(world: World, member: str, event: Any) -> None:
+    """A user's request that nobody waits for; its answer is held against those before."""
+    uid = event.uid
+    known = world.told.get(uid) or "unknown"
+
+    def answered(answer: Any) -> None:
+        if answer is None:
+            return
+        if answer.status in (200, 201):
+            world.note(uid, str(answer.body["stage"]), known)
+        elif answer.status == 404:
+            world.note(uid, "unknown", known)
+
+    world.ask("user", member, event, answered)
+
+
+def submit(world: World, job: Any, member: str) -> None:
+    world.specs[job.uid] = job
+    send(world, member, t.Submit(0, job.uid, job))
+
+
+def out_of_reach(world: World, ids: list[str], how: str) -> None:
+    """Machines that are cut off, hear nothing, or hang; what is sent to them may come late."""
+    if how == "cut":
+        world.hold = True
+        world.cut.update(frozenset((id, m)) for id in ids for m in world.members)
+    elif how == "deaf":
+        world.deaf.update(ids)
+    else:
+        for id in ids:
+            world.workers[id].hung = True
+
+
+def go_on(world: World, ids: list[str]) -> None:
+    for id in ids:
+        if id in world.workers:
+            world.workers[id].hung = False
+
+
+def calm(world: World, limit: float = 90.0) -> None:
+    """The troubles are over: what should be true of every job then."""
+    world.cut.clear()
+    world.deaf.clear()
+    world.mute.clear()
+    world.state.refusing.clear()
+    if world.state.down:
+        world.state.outage(False)
+    world.lose = world.late_writes = world.lost_answers = world.echo = 0.0
+    world.slow_state = world.slow_links = 0.0
+    for worker in world.workers.values():
+        worker.hung = False
+    for member in world.members:
+        if world.nodes[member] is None:
+            world.start(member)
+    world.deliver_held()
+    world.run(15.0)
+    open_jobs = [uid for uid, told in world.told.items() if told not in ("cancelled", "unknown")]
+
+    def served(uid: str) -> bool:
+        job = world.specs[uid]
+        if world.told[uid] in ("done", "cancelled"):
+            return True
+        if job.service:
+            return len({x for x, _ in world.on_machines() if x.job == uid}) == job.tasks
+        return world.poll(uid) in ("done", "cancelled")
+
+    world.until(lambda: all(served(uid) for uid in open_jobs), limit)
+    for member in world.members:
+        for uid, told in list(world.told.items()):
+            stage = world.poll(uid, member)
+            assert stage != "?" and (told not in ("done", "cancelled") or stage == told)
+    world.run(CANCEL_S)
+    assert not world.broken
--- /dev/null
+++ b/tests/test_combined_state_and_requests.py
@@ -0,0 +1,282 @@
+"""Failures of the state service that meet requests of users.
+
+Each meeting of failures that broke a rule somewhere is brought about here. Whatever meets,
+the rules hold meanwhile (the world notes each that is broken), and once it is over every job is
+known to every node, runs or is done, and no machine has room that somebody waits for.
+"""
+
+from typing import Any
+
+import pytest
+from combined_failures import (
+    BOTH,
+    TEAMS,
+    busy,
+    calm,
+    end_of,
+    fresh,
+    leader,
+    send,
+    submit,
+)
+from world import CANCEL_S, MEMBERS, spec
+
+from runcourse.core import types as t
+from runcourse.core.ids import TaskId
+
+
+@BOTH
+def test_changes_without_an_answer_are_carried_out_after_newer_ones(
+    members: tuple[str, ...],
+) -> None:
+    world = busy(members)
+    world.late_writes = 0.4
+    for n in range(16):
+        submit(
+            world,
+            spec(
+                f"j-0001{n:02d}",
+                tasks=3,
+                team=f"team-{n % TEAMS}",
+                cpus=1.0,
+                estimate_s=0.5 + n % 5,
+            ),
+            members[n % len(members)],
+        )
+        world.run(0.8)
+        if n % 4 == 3:
+            send(world, members[n % 3], t.Cancel(0, f"j-0001{n:02d}"))
+        if n == 8:
+            end_of(world, members[0], 0.3)
+    world.run(14.0)
+    calm(world)
+
+
+@BOTH
+def test_requests_meet_the_end_of_a_job_s_last_task(members: tuple[str, ...]) -> None:
+    """Nothing else is wrong: a cancellation, a question and a repeated submission, within
+    milliseconds before and after the last task ends."""
+    world = fresh(members)
+    for n in range(24):
+        uid = f"j-0001{n:02d}"
+        job = spec(uid, tasks=1 + n % 2, team=f"team-{n % TEAMS}", estimate_s=1.0)
+        world.submit(job)
+        wanted = {TaskId(job.uid, i) for i in range(job.tasks)}  # type: ignore[arg-type]
+        world.until(
+            lambda wanted=wanted: (
+                {x for x, _ in world.on_machines()} >= wanted  # type: ignore[misc]
+                or wanted <= world.finished
+            ),
+            20,
+        )
+        world.run(0.6 + n * 0.03)
+        for k, member in enumerate(members):
+            kinds: list[Any] = [t.Cancel(0, uid), t.Poll(0, uid), t.Submit(0, uid, job)]
+            send(world, member, kinds[(n + k) % 3])
+            world.run(0.01)
+        world.run(0.3)
+        for member in members:
+            send(world, member, t.Poll(0, uid))
+    world.run(3.0)
+    assert {"done", "cancelled"} <= set(world.told.values())
+    calm(world)
+
+
+def test_one_task_jobs_four_a_second_for_minutes_a_quarter_of_them_cancelled() -> None:
+    world = fresh(MEMBERS, 9)
+    for n in range(480):
+        uid = f"j-{n:06d}"
+        submit(
+            world,
+            spec(uid, tasks=1, team=f"team-{n % TEAMS}", estimate_s=1.0 + n % 4),
+            world.members[n % 3],
+        )
+        if n % 4 == 0:
+            world.after(
+                0.3 + n % 5,
+                lambda uid=uid, n=n: send(  # type: ignore[misc]
+                    world, world.members[n % 3], t.Cancel(0, uid)
+                ),
+            )
+        world.run(0.25)
+    world.run(10.0)
+    assert len(world.told) == 480 and "cancelled" in world.told.values()
+    calm(world)
+
+
+@BOTH
+def test_a_change_is_carried_out_and_only_its_answer_lost_while_others_read_it(
+    members: tuple[str, ...],
+) -> None:
+    world = busy(members)
+    world.lost_answers = 0.5
+    for n in range(12):
+        uid = f"j-0001{n:02d}"
+        submit(
+            world,
+            spec(uid, tasks=2, team=f"team-{n % TEAMS}", estimate_s=1.5),
+            members[n % len(members)],
+        )
+        for k in range(4):
+            send(
+                world,
+                members[k % len(members)],
+                t.Poll(0, uid) if uid in world.told else t.Submit(0, uid, world.specs[uid]),
+            )  # type: ignore[index]
+            world.run(0.1)
+        if n % 3 == 0:
+            for member in members:
+                send(world, member, t.Cancel(0, uid))
+        world.run(0.6)
+    if len(members) == 5:
+        end_of(world, members[0], 0.2)
+    world.run(6.0)
+    calm(world)
+
+
+@BOTH
+def test_a_leader_alone_with_workers_and_users_while_the_new_one_takes_cancellations(
+    members: tuple[str, ...],
+) -> None:
+    world = busy(members)
+    old = leader(world)
+    assert old is not None
+    world.cut.update(frozenset((old, o)) for o in (*members, "state") if o != old)
+    others = [m for m in members if m != old]
+    for k in range(8):
+        world.run(1.0)
+        for n in range(TEAMS):
+            send(world, others[k % len(others)], t.Cancel(0, f"j-00001{n}"))
+            send(world, old, t.Poll(0, f"j-00001{n}"))
+            send(world, old, t.Cancel(0, f"j-00000{n}"))
+    world.run(CANCEL_S)
+    assert all(world.told[f"j-00001{n}"] == "cancelled" for n in range(TEAMS))
+    calm(world)
+
+
+@BOTH
+@pytest.mark.parametrize("cancel_after", [0.0, 0.05, 1.0])
+def test_the_leader_is_refused_alone_then_everybody_for_longer_than_a_cancellation(
+    members: tuple[str, ...], cancel_after: float
+) -> None:
+    """Cancelled at the very moment of the refusal, or a little later; a second after it, nobody
+    has a state service. Meanwhile the workers report to the old leader."""
+    world = busy(members)
+    who = leader(world)
+    assert who is not None
+    world.state.refusing.add(who)
+    world.after(1.0, lambda: world.state.outage(True))
+    world.run(cancel_after)
+    for n in range(TEAMS):
+        for member in members:
+            send(world, member, t.Cancel(0, f"j-00001{n}"))
+            send(world, member, t.Poll(0, f"j-00000{n}"))
+    for _ in range(int(CANCEL_S)):
+        world.run(1.3)
+        for n in range(TEAMS):
+            send(world, members[n % len(members)], t.Poll(0, f"j-00001{n}"))
+    assert not world.broken
+    calm(world)
+
+
+@BOTH
+def test_the_state_service_answers_slowly_while_users_cancel_and_ask(
+    members: tuple[str, ...],
+) -> None:
+    world = busy(members)
+    world.slow_state = 1.2
+    for n in range(TEAMS):
+        for member in members:
+            send(world, member, t.Cancel(0, f"j-00001{n}"))
+        world.run(0.7)
+        send(world, members[n % 3], t.Poll(0, f"j-00001{n}"))
+    end_of(world, leader(world) or members[0], 0.5)
+    world.run(CANCEL_S)
+    calm(world)
+
+
+@BOTH
+def test_close_looks_at_all_nodes_find_nothing_older(members: tuple[str, ...]) -> None:
+    """Questions, repeated submissions and cancellations within milliseconds after each answer."""
+    world = fresh(members)
+    looked = [0]
+
+    def look(uid: str) -> None:
+        looked[0] += 1
+        for k, member in enumerate(members):
+            world.after(0.002 * k, lambda m=member: send(world, m, t.Poll(0, uid)))  # type: ignore[misc]
+            world.after(
+                0.003 * k + 0.001,
+                lambda m=member: send(  # type: ignore[misc]
+                    world, m, t.Submit(0, uid, world.specs[uid])
+                ),
+            )  # type: ignore[index]
+
+    note = world.note
+
+    def noting(uid: str, stage: str, known: str | None = None) -> None:
+        before = world.told.get(uid)
+        note(uid, stage, known)
+        if before != stage:
+            look(uid)
+
+    world.note = noting  # type: ignore[method-assign]
+    for n in range(20):
+        uid = f"j-0001{n:02d}"
+        submit(
+            world,
+            spec(uid, tasks=1 + n % 3, team=f"team-{n % TEAMS}", estimate_s=0.8),
+            members[n % len(members)],
+        )
+        if n % 4 == 0:
+            world.run(0.05)
+            send(world, members[(n + 1) % len(members)], t.Cancel(0, uid))
+        for k in range(7):
+            world.run(0.1)
+            send(world, members[k % len(members)], t.Poll(0, f"j-0001{max(0, n - k):02d}"))
+    world.run(5.0)
+    assert looked[0] >= 40
+    calm(world)
+
+
+@BOTH
+def test_jobs_are_cancelled_while_one_controller_s_work_changes_hands(
+    members: tuple[str, ...],
+) -> None:
+    """On the way to another, and on the way back, one every tenth of a second; then an outage."""
+    world = fresh(members, 12)
+    for n in range(60):
+        submit(
+            world,
+            spec(
+                f"j-0001{n:02d}",
+                tasks=1,
+                team=f"team-{n % TEAMS}",
+                cpus=0.5,
+                memory=1.0,
+                estimate_s=60.0,
+            ),
+            members[n % len(members)],
+        )
+        world.run(0.05)
+    world.until(lambda: len(world.on_machines()) == 60, 30)
+    number = [0]
+
+    def cancel_some(seconds: float) -> None:
+        end = world.now + seconds
+        while world.now < end and number[0] < 60:
+            up = [m for m in members if world.nodes[m] is not None]
+            send(world, up[number[0] % len(up)], t.Cancel(0, f"j-0001{number[0]:02d}"))
+            number[0] += 1
+            world.run(0.1)
+
+    world.crash(members[0])
+    cancel_some(3.0)
+    world.run(8.0)
+    world.start(members[0])
+    world.run(5.5)
+    cancel_some(2.5)
+    world.state.outage(True)
+    world.run(CANCEL_S + 3.0)
+    assert not world.broken
+    calm(world)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 import pytest
+from combined_failures import calm, end_of, leader, send, submit
 from test_faulty_jobs_and_late_writes import owner_of_job
-from test_two_troubles import calm, end_of, leader, send, submit
 from world import CANCEL_S, FIVE, GANG_PEER_S, GANG_WAIT_S, LEASE_S, MEMBERS, Worker, World, spec
 
 from runcourse.core import types as t
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,8 +1,8 @@
 """Random interleavings of failures: the rules hold, and nothing accepted is lost."""
 
+from combined_failures import send
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from test_two_troubles import send
 from world import CANCEL_S, FIVE, MEMBERS, World, spec
 
 from runcourse.core import types as t
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -10,10 +10,10 @@
 
 import production
 import pytest
+from combined_failures import calm, leader, send, submit
 from test_cancellations import apart, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
 from test_gangs import gang, runs
-from test_two_troubles import calm, leader, send, submit
 from world import CANCEL_S, FIVE, LEASE_S, MEMBERS, World, platform, spec
 
 from runcourse.config import NextLimits, Operators, StateSettings
--- a/tests/world.py
+++ b/tests/world.py
@@ -8,326 +8,50 @@
 
 import heapq
 import itertools
-import json
 import random
 from collections.abc import Callable
 from typing import Any
 
 from production import Former
-
-from runcourse.config import (
-    CloudSettings,
-    Deployment,
-    Operators,
-    Peer,
-    Platform,
-    Services,
-    StateSettings,
-    TeamSettings,
-    WorkerSettings,
+from world_settings import (
+    CANCEL_S,
+    FIVE,
+    GANG_PEER_S,
+    GANG_WAIT_S,
+    LEASE_S,
+    MEMBERS,
+    REPORT_S,
+    TYPE,
+    ZONES,
+    platform,
+    spec,
+    void,
 )
+from world_state import State
+from world_worker import Gang, Worker
+
+from runcourse.config import Operators
 from runcourse.core import types as t
 from runcourse.core.ids import Instant
 from runcourse.core.jobs import JobSpec
 from runcourse.core.node import Node
-
-LEASE_S = 6.0
-REPORT_S = 1.0
-CANCEL_S = 20.0
-GANG_WAIT_S = 8.0
-GANG_PEER_S = 2.0
-TYPE = t.MachineType("m4", 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ("a", "b", "c"))
-MEMBERS = ("n0", "n1", "n2")
-FIVE = (*MEMBERS, "n3", "n4")
-ZONES = ("a", "b", "c")
-
-
-def platform(
-    member: str,
-    cpus_max: float = 16.0,
-    members: tuple[str, ...] = MEMBERS,
-    objectives: tuple[Any, ...] = (),
-    lease_s: float = LEASE_S,
-) -> Platform:
-    return Platform(
-        member=member,
-        area="a",
-        api_addr="127.0.0.1:1",
-        internal_addr="127.0.0.1:2",
-        services=Services("127.0.0.1:3", "127.0.0.1:4"),
-        peers=tuple(Peer(m, "a", "127.0.0.1:5") for m in members if m != member),
-        settings=Deployment(
-            nodes=len(members),
-            zones=ZONES,
-            objectives=objectives,
-            teams=tuple(TeamSettings(f"team-{i}", 4.0, cpus_max) for i in range(4)),
-            workers=WorkerSettings(REPORT_S, lease_s, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
-            state=StateSettings(rps=400.0, write_rps=200.0),
-            cloud=CloudSettings(10.0, 2.0),
-        ),
-    )
-
-
-def void(value: Any) -> None:
-    """For what is done for its effect only."""
-
-
-def spec(uid: str, tasks: int = 2, **changes: Any) -> JobSpec:
-    values: dict[str, Any] = {
-        "uid": uid,
-        "lane": "x",
-        "team": "team-0",
-        "service": False,
-        "rank": 1,
-        "tasks": tasks,
-        "cpus": 2.0,
-        "gpus": 0.0,
-        "memory": 4.0,
-        "image": "img",
-        "image_gb": 0.2,
-        "estimate_s": 2.0,
-    }
-    values.update(changes)
-    return JobSpec(**values)
-
-
-class State:
-    """The state service: versions, leases, conditions, and a record of changes."""
-
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.data: dict[str, tuple[Any, int, int | None]] = {}
-        self.epoch = 0
-        self.log: list[tuple[str, Any, int]] = []
-        self.leases: dict[int, tuple[float, float]] = {}
-        self.down = False
-        self.refusing: set[str] = set()
-        self.most: tuple[int, int] | None = None  # bytes of a value, changes in a transaction
-        self.too_large: list[str] = []  # keys of changes that were rejected for their size
-        self._grants = itertools.count(1)
-
-    def outage(self, on: bool) -> None:
-        self.down = on
-        if not on:  # every lease has its full time again
-            self.leases = {g: (self.world.now + ttl, ttl) for g, (_, ttl) in self.leases.items()}
-
-    def expire(self) -> None:
-        if self.down:
-            return
-        for grant in [g for g, (end, _) in self.leases.items() if self.world.now >= end]:
-            del self.leases[grant]
-            gone = [k for k, (_, _, g) in self.data.items() if g == grant]
-            if gone:
-                self.epoch += 1
-                for key in gone:
-                    del self.data[key]
-                    self.log.append((key, None, self.epoch))
-
-    def serve(self, member: str, effect: Any) -> tuple[int, Any]:
-        self.expire()
-        if self.down or member in self.refusing:
-            return 503, None
-        match effect:
-            case t.ReadAll():
-                return 200, ([(k, v, s) for k, (v, s, _) in sorted(self.data.items())], self.epoch)
-            case t.Follow():
-                return 200, ([c for c in self.log if c[2] > effect.since], self.epoch)
-            case t.GrantLease():
-                grant = next(self._grants)
-                self.leases[grant] = (self.world.now + effect.ttl_ms / 1000, effect.ttl_ms / 1000)
-                return 200, grant
-            case t.ExtendLease():
-                if effect.lease not in self.leases:
-                    return 404, None
-                ttl = self.leases[effect.lease][1]
-                self.leases[effect.lease] = (self.world.now + ttl, ttl)
-                return 200, None
-            case t.Commit():
-                return self._commit(effect)
-        raise TypeError(effect)
-
-    def _commit(self, effect: t.Commit) -> tuple[int, Any]:
-        if self.most is not None and (
-            len(effect.then) > self.most[1]
-            or any(len(json.dumps(v)) > self.most[0] for _, v, _ in effect.then if v is not None)
-        ):
-            self.too_large.append(effect.then[0][0])
-            return 400, None
-        if any(self.data.get(k, (None, 0, None))[1] != s for k, s in effect.when):
-            return 409, None
-        if any(g is not None and g not in self.leases for _, _, g in effect.then):
-            return 400, None
-        self.epoch += 1
-        for key, value, grant in effect.then:
-            if value is None:
-                self.data.pop(key, None)
-            else:
-                self.data[key] = (value, self.epoch, grant)
-            self.log.append((key, value, self.epoch))
-        return 200, self.epoch
-
-
-class Worker:
-    """One machine's worker: sessions, tokens, leases, and tasks that run for a while."""
-
-    def __init__(self, world: World, id: str, zone: str, spot: bool) -> None:
-        self.world = world
-        self.id = id
-        self.zone = zone
-        self.spot = spot
-        self.session, self.seq, self.token = 1, 0, 0
-        self.tasks: dict[tuple[Any, int], list[Any]] = {}  # -> [stage, cause, since]
-        self.images: set[str] = set()
-        self.renewed = world.now
-        self.alive = True
-        self.hung = False
-        self.sick = False
-        self.notice_s: float | None = None
-        self.node = world.rng.choice(world.members)
-        self.asking = 0
-        self.waiting = False  # one report is in flight at a time
-        world.after(0.1, self.beat)
-
-    def next_node(self) -> None:
-        members = self.world.members
-        self.node = members[(members.index(self.node) + 1) % len(members)]
-
-    def blink(self) -> None:
-        """The machine is back at once, with a worker that remembers nothing."""
-        self.session, self.seq, self.token = 1, 0, 0
-        self.tasks.clear()
-        self.renewed = self.world.now
-        self.asking += 1
-        self.waiting = False
-
-    def report(self) -> t.Report:
-        self.seq += 1
-        return t.Report(
-            self.id,
-            f"{self.id}:1",
-            "m4",
-            self.zone,
-            self.spot,
-            self.session,  # type: ignore[arg-type]
-            self.seq,
-            self.token,
-            self.notice_s,  # type: ignore[arg-type]
-            tuple(
-                t.TaskReport(task, attempt, stage, cause, cause == "stopped")  # type: ignore[arg-type]
-                for (task, attempt), (stage, cause, _) in self.tasks.items()
-            ),
-        )
-
-    def step(self) -> None:
-        """Let time pass for the tasks and the lease."""
-        if not self.alive:
-            return
-        now = self.world.now
-        if now - self.renewed > self.world.settings.get("lease_s", LEASE_S):
-            self.tasks.clear()
-            self.session += 1
-            self.seq = 0
-            self.renewed = now
-        if self.hung:  # it executes nothing, but may resume within its lease only
-            return
-        for (task, _), entry in self.tasks.items():
-            job = self.world.specs[task.job]
-            if entry[0] == "fetching" and (
-                now - entry[2] > self.world.fetch_s or (job.gang and job.image in self.images)
-            ):
-                self.images.add(job.image)
-                self.world.check_start(self, task)
-                entry[0], entry[2] = "waiting" if job.gang else "running", now
-            if job.gang and entry[0] == "waiting" and now - entry[2] > GANG_WAIT_S:
-                entry[0], entry[1] = "ended", "incomplete"
-            if job.gang and not self.sick:
-                continue  # the rest is seen to for the whole of it
-            if entry[0] == "running" and (self.sick or task.job in self.world.mistaken):
-                entry[0], entry[1] = "ended", "error"
-            elif entry[0] == "running" and not job.service and now - entry[2] > job.estimate_s:
-                entry[0], entry[1] = "ended", "done"
-                self.world.finished.add(task)
-
-    def beat(self) -> None:
-        if not self.alive:
-            return
-        self.world.after(REPORT_S * self.world.rng.uniform(0.75, 1.25), self.beat)
-        if self.hung or self.waiting:
-            return
-        self.step()
-        if self.id in self.world.mute:  # no connection to any node: it tries the next one
-            self.next_node()
-            return
-        self.waiting = True
-        sent = self.world.now
-        session = self.session
-        self.asking += 1
-        asked = self.asking
-
-        def answered(answer: t.ReportAnswer | None) -> None:
-            if self.asking != asked or not self.alive or self.world.now > sent + 4:
-                return
-            self.step()
-            self.asking += 1
-            self.waiting = False
-            if answer is not None and answer.status == 200:
-                if answer.token >= self.token and self.session == session:
-                    self.token = answer.token
-                    self.renewed = max(self.renewed, sent)
-                    self.obey(answer.orders)
-            elif answer is not None and answer.owner:
-                self.node = answer.owner
-            else:
-                self.next_node()
-
-        def gave_up() -> None:
-            if self.asking == asked:
-                self.asking += 1
-                self.waiting = False
-                self.next_node()
-
-        self.world.ask(self.id, self.node, t.ReportReceived(0, self.report()), answered)
-        self.world.after(4.0, gave_up)
-
-    def obey(self, orders: tuple[t.Order, ...]) -> None:
-        for order in orders:
-            key = (order.task, order.attempt)
-            if order.op == "start" and key not in self.tasks:
-                used = sum(
-                    self.world.specs[k[0].job].cpus
-                    for k, e in self.tasks.items()
-                    if e[0] != "ended"
-                )
-                if any(k[0] == order.task and e[0] != "ended" for k, e in self.tasks.items()):
-                    self.tasks[key] = ["ended", "busy", self.world.now]
-                elif used + self.world.specs[order.task.job].cpus > TYPE.cpus:
-                    self.tasks[key] = ["ended", "full", self.world.now]
-                else:
-                    self.tasks[key] = ["fetching", "", self.world.now]
-            elif order.op == "stop" and key in self.tasks and self.tasks[key][0] != "ended":
-                if not self.world.saves(order, self.tasks[key]):
-                    self.tasks[key] = ["ended", "stopped", self.world.now]
-            elif order.op == "forget":
-                self.tasks.pop(key, None)
-
-    def command(self, effect: t.Command) -> tuple[int, Any]:
-        self.step()
-        if effect.token < self.token or effect.session != self.session:
-            return 409, self.report()
-        self.token = effect.token
-        self.obey(effect.orders)
-        self.step()
-        return 200, self.report()
-
-
-class Gang:
-    """One attempt of a gang that has started: its tasks tick together."""
-
-    def __init__(self, now: float) -> None:
-        self.since = now
-        self.told_at: float | None = None  # the first order to stop it
-        self.broken_at: float | None = None  # one of them is gone, or its machine hangs
-        self.over = False
+from runcourse.wire.peer_messages import PeerMessage
+
+__all__ = [
+    "CANCEL_S",
+    "FIVE",
+    "GANG_PEER_S",
+    "GANG_WAIT_S",
+    "LEASE_S",
+    "MEMBERS",
+    "REPORT_S",
+    "TYPE",
+    "ZONES",
+    "World",
+    "platform",
+    "spec",
+    "void",
+]
 
 
 class World:
@@ -532,7 +256,7 @@
                         worker.tasks.clear()
                 self.after(self._latency(), lambda: back(200))
 
-    def _say(self, member: str, other: str, message: dict[str, Any]) -> None:
+    def _say(self, member: str, other: str, message: PeerMessage) -> None:
         if self.reachable(member, other):
 
             def arrive() -> None:
