--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -15,8 +15,8 @@
 from .context import CLOCK_DRIFT, Context
 from .ids import ABSENT, ALWAYS, LONG_AGO, Incarnation, Instant, JobId, Member, Stamp, later
 from .jobs import Jobs
-from .store import LIVE, Store
-from .types import ExtendLease, GrantLease, Outcome, SendToPeer
+from .store import LIVE, CommitResult, Store
+from .types import Condition, ExtendLease, GrantLease, Outcome, SendToPeer, Write
 from .versions import VERSION, Versions
 
 FAILED_LATELY_S = 2.0  # beyond the longest wait for an answer of the state service
@@ -142,20 +142,22 @@
     def _write_live(self) -> None:
         self._busy = True
 
-        def done(result: str, stamp: Stamp) -> None:
+        def done(result: CommitResult, stamp: Stamp) -> None:
             self._busy = False
-            self._next = Instant(self.context.now + (self.ttl / 4 if result == "ok" else 0.2))
-            if result == "ok":
+            self._next = Instant(
+                self.context.now + (self.ttl / 4 if result is CommitResult.OK else 0.2)
+            )
+            if result is CommitResult.OK:
                 self.live = True
                 self._on_live()
-            elif result == "nolease":
+            elif result is CommitResult.LEASE_ENDED:
                 self.lease = None
 
         # Whatever process wrote this key under this name before is dead. But a copy of its
         # write, or of this one, may yet be applied: the version makes it fail.
         me = LIVE + self.context.me
         self.store.commit(
-            [(me, int(self.store.stamp(me)))], [(me, self._value(), self.lease)], done, Store.URGENT
+            [self.store.expect(me)], [Write(me, self._value(), self.lease)], done, Store.URGENT
         )
 
     def _extend(self) -> None:
@@ -214,13 +216,13 @@
         self._busy = True
         me = LIVE + self.context.me
 
-        def done(result: str, stamp: Stamp) -> None:
+        def done(result: CommitResult, stamp: Stamp) -> None:
             self._busy = False
-            if result != "ok":
+            if result is not CommitResult.OK:
                 self._gone.pop(member, None)
 
-        when: list[tuple[str, int]] = [(LIVE + member, ABSENT), (me, self.store.stamp(me))]
-        self.store.commit(when, [(me, self._value(), self.lease)], done, Store.URGENT)
+        when = [Condition(LIVE + member, ABSENT), self.store.expect(me)]
+        self.store.commit(when, [Write(me, self._value(), self.lease)], done, Store.URGENT)
 
     # --- vouching ------------------------------------------------------------------------
 
--- a/runcourse/core/catalogue.py
+++ b/runcourse/core/catalogue.py
@@ -9,8 +9,8 @@
 from .leadership import Leadership
 from .machines import Fleet
 from .sizes import json_size
-from .store import CATALOG, TYPES, Put, Store
-from .types import MachineType, Outcome, ReadCatalog
+from .store import CATALOG, TYPES, Store
+from .types import MachineType, Outcome, ReadCatalog, Write
 from .versions import Versions
 
 CATALOG_EVERY_S = 30.0
@@ -50,10 +50,10 @@
         types: tuple[MachineType, ...] = outcome.body
         rows = [[*t[:9], list(t.zones)] for t in types]
         pages = self.pages(rows)
-        changes: list[Put] = [
-            (key, page, None) for key, page in pages.items() if page != self.store.get(key)
+        changes: list[Write] = [
+            Write(key, page) for key, page in pages.items() if page != self.store.get(key)
         ]
-        changes += [(key, None, None) for key in self.store.keys(TYPES) if key not in pages]
+        changes += [Write(key, None) for key in self.store.keys(TYPES) if key not in pages]
         size = self.context.limits.txn_ops
         for n in range(0, len(changes), size):
             self.store.commit(
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -9,7 +9,8 @@
 from .jobs import PAGE_BITS, PART_BITS, Job, final_value
 from .shares import Shares
 from .sizes import json_size
-from .store import DONE, FORMAT, JOB, PART, Store
+from .store import DONE, FORMAT, JOB, PART, CommitResult, Store
+from .types import Condition, Write
 from .work import Work
 
 FLUSH_GAP_S = 1.0  # between two stored changes of one job that do not complete it
@@ -57,20 +58,20 @@
         work.flushing = True
         work.flushed_at = self.context.now
         key = JOB + job.uid
-        when = [self.shares.guard(work.share), (key, int(job.stamp))]
-        then: list[tuple[str, Any, int | None]] = []
+        when = [self.shares.guard(work.share), Condition(key, job.stamp)]
+        then: list[Write] = []
         if complete:  # says of every task that it is done: no page need say it too
-            then.append((key, final_value(job.spec, "done", self.context.limits.value_bytes), None))
+            then.append(Write(key, final_value(job.spec, "done", self.context.limits.value_bytes)))
         else:
             bits = self._pages(job, bits, when, then)
 
-        def done(result: str, stamp: Stamp) -> None:
+        def done(result: CommitResult, stamp: Stamp) -> None:
             work.flushing = False
-            if result == "ok":
+            if result is CommitResult.OK:
                 work.finished &= ~bits
                 if not work.finished and self._unstored.get(job.uid) is work:
                     del self._unstored[job.uid]
-            elif result == "rejected":
+            elif result is CommitResult.REJECTED:
                 self._small = True
                 work.retry_at = Instant(self.context.now + RETRY_REJECTED_S)
             else:
@@ -82,8 +83,8 @@
         self,
         job: Job,
         bits: int,
-        when: list[tuple[str, int]],
-        then: list[tuple[str, Any, int | None]],
+        when: list[Condition],
+        then: list[Write],
     ) -> int:
         """Adds what stores these finishes, as many as go into a transaction; returns which. Pages
         that grow too large go on in parts: what a page holds already stays where it is."""
@@ -109,8 +110,8 @@
                     return stored
                 # A change without an answer may be carried out after newer ones, and would
                 # take back what they stored: the page's version makes it fail.
-                when.append((page, int(self.store.stamp(page))))
-                then.append((page, value, None))
+                when.append(self.store.expect(page))
+                then.append(Write(page, value))
                 stored |= part
         return stored
 
--- a/runcourse/core/inventory.py
+++ b/runcourse/core/inventory.py
@@ -12,8 +12,18 @@
 from .machine import Record
 from .machines import Fleet
 from .shares import Shares
-from .store import MACHINE, Store
-from .types import CloudMachine, ListMachines, Outcome, Probe, Release, Report, SendToPeer
+from .store import MACHINE, CommitResult, Store
+from .types import (
+    CloudMachine,
+    Condition,
+    ListMachines,
+    Outcome,
+    Probe,
+    Release,
+    Report,
+    SendToPeer,
+    Write,
+)
 
 MAX_RELEASE = 100
 REMEMBERED = 4  # ids of returned machines kept in the store, by machine of the largest fleet
@@ -37,7 +47,7 @@
         loads: dict[ShareNo, LoadReport],
         leading: Callable[[], bool],
         leader: Callable[[], str | None],
-        guard: Callable[[], tuple[str, int]],
+        guard: Callable[[], Condition],
     ) -> None:
         self.context = context
         self.store = store
@@ -154,23 +164,23 @@
             oldest = sorted(self.fleet.gone)[: min(surplus, size)]
             self.store.commit(
                 [self.guard()],
-                [(MACHINE + id, None, None) for id in oldest],
+                [Write(MACHINE + id, None) for id in oldest],
                 lambda result, stamp: None,
                 Store.LATER,
             )
 
     def _drop_batch(self, ids: list[MachineId]) -> None:
-        def done(result: str, stamp: Stamp) -> None:
-            if result == "rejected":
+        def done(result: CommitResult, stamp: Stamp) -> None:
+            if result is CommitResult.REJECTED:
                 for part in halves(ids):
                     self._drop_batch(part)
-            elif result != "ok":
+            elif result is not CommitResult.OK:
                 self._drop_later.extend(id for id in ids if id in self.fleet.records)
 
-        when = [(MACHINE + id, int(self.fleet.records[id].stamp)) for id in ids]
+        when = [Condition(MACHINE + id, self.fleet.records[id].stamp) for id in ids]
         self.store.commit(
             [self.guard(), *when],
-            [(MACHINE + id, {"gone": True}, None) for id in ids],
+            [Write(MACHINE + id, {"gone": True}) for id in ids],
             done,
             Store.OWNER,
         )
@@ -243,8 +253,8 @@
             self._record(batch[n : n + size])
 
     def _record(self, ids: list[MachineId]) -> None:
-        def done(result: str, stamp: Stamp) -> None:
-            if result == "rejected" and len(ids) > 1:
+        def done(result: CommitResult, stamp: Stamp) -> None:
+            if result is CommitResult.REJECTED and len(ids) > 1:
                 for part in halves(ids):
                     self._record(part)
                 return
@@ -252,7 +262,7 @@
                 record = self._adopting.pop(id, None)
                 # One of them has a record already: the others one by one.
                 if (
-                    result == "conflict"
+                    result is CommitResult.CONFLICT
                     and len(ids) > 1
                     and record is not None
                     and id not in self.fleet.records
@@ -262,8 +272,8 @@
                     self._record([id])
 
         self.store.commit(
-            [self.guard(), *((MACHINE + id, int(ABSENT)) for id in ids)],
-            [(MACHINE + id, self._adopting[id].value(), None) for id in ids],
+            [self.guard(), *(Condition(MACHINE + id, ABSENT) for id in ids)],
+            [Write(MACHINE + id, self._adopting[id].value()) for id in ids],
             done,
             Store.OWNER,
         )
--- a/runcourse/core/leadership.py
+++ b/runcourse/core/leadership.py
@@ -5,7 +5,8 @@
 from .authority import Authority
 from .context import Context
 from .ids import ABSENT, Stamp
-from .store import LEADER, Store
+from .store import LEADER, CommitResult, Store
+from .types import Condition, Write
 
 
 class Leadership:
@@ -45,13 +46,13 @@
             return
         self._claiming = True
 
-        def done(result: str, stamp: Stamp) -> None:
+        def done(result: CommitResult, stamp: Stamp) -> None:
             self._claiming = False
 
         self.store.commit(
-            [(LEADER, ABSENT)],
+            [Condition(LEADER, ABSENT)],
             [
-                (
+                Write(
                     LEADER,
                     {"member": self.context.me, "inc": self.authority.inc},
                     self.authority.lease,
@@ -61,6 +62,6 @@
             Store.URGENT,
         )
 
-    def guard(self) -> tuple[str, int]:
+    def guard(self) -> Condition:
         """The condition that makes a late change of a former leader fail."""
-        return (LEADER, int(self.store.stamp(LEADER)))
+        return self.store.expect(LEADER)
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -25,7 +25,8 @@
     make_attempt,
 )
 from .sizes import json_size
-from .store import LIVE, MAPPING, SHARE, Store
+from .store import LIVE, MAPPING, SHARE, CommitResult, Store
+from .types import Condition, Write
 
 HANDBACK_AFTER_S = 6.0  # a returned home node must have been up this long
 HANDBACK_AT_LAST_S = 60.0  # silent machines put it off no longer
@@ -98,18 +99,18 @@
             Team(str(name)): ShareNo(n % len(self.context.members)) for n, name in enumerate(names)
         }
 
-    def _mapping(self) -> tuple[list[tuple[str, int]], list[tuple[str, Any, int | None]]]:
+    def _mapping(self) -> tuple[list[Condition], list[Write]]:
         """Conditions and change with which the first share taken fixes the dealing: a team
         must have one share only, whatever settings a node was started with later. A store
         whose shares were taken without one goes on with hashes."""
         if self.store.get(MAPPING) is not None:
-            return [(MAPPING, int(self.store.stamp(MAPPING)))], []
+            return [self.store.expect(MAPPING)], []
         if any(self.owner(share) is not None for share in self.all()):
-            return [(MAPPING, ABSENT)], []
+            return [Condition(MAPPING, ABSENT)], []
         names = sorted(team.name for team in self.context.platform.settings.teams)
         if json_size({"dealt": names}) > self.context.limits.value_bytes:
             names = []  # more than a value holds: hashes for all
-        return [(MAPPING, ABSENT)], [(MAPPING, {"dealt": names}, None)]
+        return [Condition(MAPPING, ABSENT)], [Write(MAPPING, {"dealt": names})]
 
     # --- owners --------------------------------------------------------------------------
 
@@ -133,9 +134,9 @@
         """When the member's present process was first seen to have a lease."""
         return self._home_since.get(member, (None, LONG_AGO))[1]
 
-    def guard(self, share: ShareNo) -> tuple[str, int]:
+    def guard(self, share: ShareNo) -> Condition:
         """The condition that makes a late transaction of a former owner fail."""
-        return (self.key(share), self.owned[share].epoch)
+        return Condition(self.key(share), self.owned[share].epoch)
 
     def may_command(self, share: ShareNo) -> bool:
         """May this node command the share's machines now?"""
@@ -182,7 +183,7 @@
             self._on_loss(share)
         self._taking.clear()
 
-    def _take(self, share: ShareNo, conditions: list[tuple[str, int]]) -> None:
+    def _take(self, share: ShareNo, conditions: list[Condition]) -> None:
         if share in self._taking:
             return
         self._taking.add(share)
@@ -190,14 +191,14 @@
         fixed, fixing = self._mapping()
         when = [
             *fixed,
-            (key, self.store.stamp(key)),
-            (LIVE + self.context.me, self.store.stamp(LIVE + self.context.me)),
+            self.store.expect(key),
+            self.store.expect(LIVE + self.context.me),
             *conditions,
         ]
         value = {"owner": self.context.me, "inc": self.authority.inc}
         self.store.commit(
             when,
-            [*fixing, (key, value, None)],
+            [*fixing, Write(key, value)],
             lambda result, stamp: self._taking.discard(share),
             Store.URGENT,
         )
@@ -253,8 +254,8 @@
         if now - since < 0.3 * self._turn(share, member):
             return
         self._former[share] = member
-        conditions: list[tuple[str, int]] = [(LIVE + member, ABSENT)]
-        conditions += [(LIVE + m, self.store.stamp(LIVE + m)) for m in others]
+        conditions = [Condition(LIVE + member, ABSENT)]
+        conditions += [self.store.expect(LIVE + m) for m in others]
         self._take(share, conditions)
 
     def _turn(self, share: ShareNo, dead: Member) -> int:
@@ -287,27 +288,30 @@
         holding.giving = True
         self.context.log("info", f"share {share} handed back to {home}")
 
-        def done(result: str, stamp: Stamp) -> None:
-            if result in ("conflict", "refused"):
+        def done(result: CommitResult, stamp: Stamp) -> None:
+            if result in (CommitResult.CONFLICT, CommitResult.REFUSED):
                 holding.giving = False
-            elif result == "unknown":
+            elif result is CommitResult.UNKNOWN:
                 self._settle_unknown(holding)
 
         self.store.commit(
-            [self.guard(share), (LIVE + home, self.store.stamp(LIVE + home))],
-            [(self.key(share), {"owner": home, "inc": inc}, None)],
+            [self.guard(share), self.store.expect(LIVE + home)],
+            [Write(self.key(share), {"owner": home, "inc": inc})],
             done,
         )
 
     def _settle_unknown(self, holding: Holding) -> None:
         """The hand-back may yet be applied: write the share anew, so that it can't."""
 
-        def done(result: str, stamp: Stamp) -> None:
-            if result in ("unknown", "refused") and holding.number in self.owned:
+        def done(result: CommitResult, stamp: Stamp) -> None:
+            if (
+                result in (CommitResult.UNKNOWN, CommitResult.REFUSED)
+                and holding.number in self.owned
+            ):
                 self._settle_unknown(holding)
 
         if self.owned.get(holding.number) is holding:
             value = {"owner": self.context.me, "inc": self.authority.inc}
             self.store.commit(
-                [self.guard(holding.number)], [(self.key(holding.number), value, None)], done
+                [self.guard(holding.number)], [Write(self.key(holding.number), value)], done
             )
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -11,12 +11,13 @@
 import itertools
 from collections import deque
 from collections.abc import Callable
+from enum import Enum, auto
 from typing import Any
 
 from .context import Context
-from .ids import ABSENT, ALWAYS, LONG_AGO, Instant, Stamp
+from .ids import ABSENT, ALWAYS, LONG_AGO, Instant, Stamp, later
 from .sizes import json_size
-from .types import LATE, Commit, Follow, Outcome, ReadAll
+from .types import LATE, Commit, Condition, Follow, Outcome, ReadAll, Write
 
 ROOT = "rc/"
 LIVE = ROOT + "live/"
@@ -33,13 +34,47 @@
 
 FRESH_S = 1.5  # how old a read may be that an answer rests on, when the answer leaves
 GIVE_UP_AFTER_S = 1.0  # without contact: who waits for a change is refused
+THROTTLED_S = 0.1  # after a 429
+THROTTLED_RATE = 0.7  # of the rate of changes, after a 429
 TRIES = 4  # of a change that the state service has no time for
 
 Listener = Callable[[str, Any, Stamp], None]
 Waiter = Callable[[bool], None]
-# ok, conflict, refused, unknown, nolease or rejected (too large for the service); and the stamp
-Result = Callable[[str, Stamp], None]
-Put = tuple[str, Any, int | None]
+
+
+class CommitResult(Enum):
+    """What became of a change."""
+
+    OK = auto()
+    CONFLICT = auto()  # a condition did not hold
+    REFUSED = auto()  # surely not carried out
+    UNKNOWN = auto()  # no answer: it may be carried out, or may yet be
+    LEASE_ENDED = auto()  # the lease that a write names is gone
+    REJECTED = auto()  # too large for the state service
+
+
+Result = Callable[[CommitResult, Stamp], None]
+
+
+class _Change:
+    """A change on its way, with who waits for its result."""
+
+    __slots__ = ("result", "then", "tries", "until", "urgency", "when")
+
+    def __init__(
+        self,
+        when: list[Condition],
+        then: list[Write],
+        result: Result,
+        urgency: int,
+        until: Instant,
+    ) -> None:
+        self.when = when
+        self.then = then
+        self.result = result
+        self.urgency = urgency
+        self.until = until
+        self.tries = 0
 
 
 class Bucket:
@@ -105,6 +140,10 @@
         """The version of the key; 0 if there is none."""
         return self.stamps.get(key, ABSENT) if key in self.values else ABSENT
 
+    def expect(self, key: str) -> Condition:
+        """The condition that the key is still as this copy has it."""
+        return Condition(key, self.stamp(key))
+
     def keys(self, prefix: str) -> list[str]:
         """The keys under the prefix."""
         return [key for key in self.values if key.startswith(prefix)]
@@ -236,63 +275,73 @@
 
     def commit(
         self,
-        when: list[tuple[str, int]],
-        then: list[Put],
+        when: list[Condition],
+        then: list[Write],
         result: Result,
         urgency: int = OWNER,
         until: Instant = ALWAYS,
     ) -> None:
-        """`until`: when whoever asked for the change has given it up."""
-
-        def done(outcome: Outcome, tries: int) -> None:
-            status = outcome.status
-            if status == 200:
-                stamp = Stamp(int(outcome.body))
-                self.note_contact(True, 200, Instant(outcome.began))
-                if stamp > self.applied:  # else a read brought it, and perhaps what came after
-                    for key, value, _ in then:
-                        self._change(key, value, stamp)
-                result("ok", stamp)
-            elif status == 409:
-                self.note_contact(True, 409, Instant(outcome.began))
-                self.sync()
-                result("conflict", ABSENT)
-            elif status == 400 and any(grant is not None for _, _, grant in then):
-                result("nolease", ABSENT)
-            elif status == 400:
-                # Never repeated as it is: whoever asked for it must ask for less.
-                size = max((json_size(value) for _, value, _ in then), default=0)
-                self.context.log(
-                    "error",
-                    f"the state service takes no such change: {len(then)} keys"
-                    f" from {then[0][0] if then else '-'}, the largest value"
-                    f" {size} bytes",
-                )
-                result("rejected", ABSENT)
-            elif outcome.body == LATE:
-                result("refused", ABSENT)
-            elif status in (429, 503) or (status == 0 and not outcome.sent):
-                self.note_contact(False, status, Instant(outcome.began))
-                if status == 429:
-                    self._paused_until = Instant(self.context.now + 0.1)
-                    self._writes.rate = max(self._share, 0.7 * self._writes.rate)
-                    # Surely not executed: waiting a moment costs less than a user's retry.
-                    if tries < TRIES:
-                        push(tries + 1)
-                        return
-                result("refused", ABSENT)
-            else:
-                self.note_contact(False, status, Instant(outcome.began))
-                self.sync()
-                result("unknown", ABSENT)
-
-        def push(tries: int) -> None:
-            commit = Commit(lambda outcome: done(outcome, tries), when, then, until)
-            heapq.heappush(self._queue, (urgency, next(self._order), commit))
-            self._queued += len(then)
-            self._flush()
+        """Queue a change; `until`: when whoever asked for it has given it up."""
+        self._push(_Change(when, then, result, urgency, until))
+
+    def _push(self, change: _Change) -> None:
+        change.tries += 1
+        commit = Commit(
+            lambda outcome: self._answered(change, outcome), change.when, change.then, change.until
+        )
+        heapq.heappush(self._queue, (change.urgency, next(self._order), commit))
+        self._queued += len(change.then)
+        self._flush()
 
-        push(1)
+    def _answered(self, change: _Change, outcome: Outcome) -> None:
+        status, began = outcome.status, Instant(outcome.began)
+        if status == 200:
+            self._applied_here(change, Stamp(int(outcome.body)), began)
+        elif status == 409:
+            self.note_contact(True, 409, began)
+            self.sync()
+            change.result(CommitResult.CONFLICT, ABSENT)
+        elif status == 400 and any(write.lease is not None for write in change.then):
+            change.result(CommitResult.LEASE_ENDED, ABSENT)
+        elif status == 400:
+            self._log_too_large(change)
+            change.result(CommitResult.REJECTED, ABSENT)
+        elif outcome.body == LATE:
+            change.result(CommitResult.REFUSED, ABSENT)
+        elif status in (429, 503) or (status == 0 and not outcome.sent):
+            self._not_executed(change, status, began)
+        else:
+            self.note_contact(False, status, began)
+            self.sync()
+            change.result(CommitResult.UNKNOWN, ABSENT)
+
+    def _applied_here(self, change: _Change, stamp: Stamp, began: Instant) -> None:
+        self.note_contact(True, 200, began)
+        if stamp > self.applied:  # else a read brought it, and perhaps what came after
+            for write in change.then:
+                self._change(write.key, write.value, stamp)
+        change.result(CommitResult.OK, stamp)
+
+    def _not_executed(self, change: _Change, status: int, began: Instant) -> None:
+        self.note_contact(False, status, began)
+        if status == 429:
+            self._paused_until = later(self.context.now, THROTTLED_S)
+            self._writes.rate = max(self._share, THROTTLED_RATE * self._writes.rate)
+            # Surely not executed: waiting a moment costs less than a user's retry.
+            if change.tries < TRIES:
+                self._push(change)
+                return
+        change.result(CommitResult.REFUSED, ABSENT)
+
+    def _log_too_large(self, change: _Change) -> None:
+        """Never repeated as it is: whoever asked for it must ask for less."""
+        size = max((json_size(write.value) for write in change.then), default=0)
+        first = change.then[0].key if change.then else "-"
+        self.context.log(
+            "error",
+            f"the state service takes no such change: {len(change.then)} keys from {first},"
+            f" the largest value {size} bytes",
+        )
 
     def _flush(self) -> None:
         now = self.context.now
--- a/runcourse/core/transfers.py
+++ b/runcourse/core/transfers.py
@@ -22,8 +22,8 @@
 from .machines import Fleet
 from .scheduler import Scheduler
 from .shares import Shares
-from .store import MACHINE, Store
-from .types import SendToPeer
+from .store import MACHINE, CommitResult, Store
+from .types import Condition, SendToPeer, Write
 
 VACATE_S = 15.0  # within which a machine promised to another share must be empty
 YIELD_S = 45.0  # within which a machine that another share asked for must fall empty
@@ -99,17 +99,20 @@
             if self.fleet.machines.get(machine.id) is not machine:
                 return
             self.store.commit(
-                [self.shares.guard(machine.share.number), (MACHINE + machine.id, record.stamp)],
-                [(MACHINE + machine.id, record.value(**changes), None)],
+                [
+                    self.shares.guard(machine.share.number),
+                    Condition(MACHINE + machine.id, record.stamp),
+                ],
+                [Write(MACHINE + machine.id, record.value(**changes))],
                 done,
             )
 
-        def done(result: str, stamp: Stamp) -> None:
-            if result == "ok":
+        def done(result: CommitResult, stamp: Stamp) -> None:
+            if result is CommitResult.OK:
                 machine.moving = False
                 if "share" in changes:
                     self.ask_owner(changes["share"], state)
-            elif result == "conflict":
+            elif result is CommitResult.CONFLICT:
                 # Perhaps an earlier try was applied: look before anything new goes there.
                 self.store.sync(checked)
             else:
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -6,7 +6,18 @@
 
 import msgspec
 
-from .ids import ALWAYS, NO_TOKEN, Attempt, Instant, MachineId, Member, Session, TaskId, Token
+from .ids import (
+    ALWAYS,
+    NO_TOKEN,
+    Attempt,
+    Instant,
+    MachineId,
+    Member,
+    Session,
+    Stamp,
+    TaskId,
+    Token,
+)
 from .jobs import JobSpec
 from .placement import Size
 
@@ -189,12 +200,27 @@
     since: int
 
 
+class Condition(NamedTuple):
+    """The version that a key must have; 0: it does not exist."""
+
+    key: str
+    stamp: Stamp
+
+
+class Write(NamedTuple):
+    """A value for a key, attached to a lease if one is given; None drops the key."""
+
+    key: str
+    value: Any
+    lease: int | None = None
+
+
 class Commit(msgspec.Struct):
-    """Atomic change: `then` holds (key, value, grant); a value of None drops the key."""
+    """Atomic change, carried out if all conditions hold."""
 
     tag: Any
-    when: list[tuple[str, int]]
-    then: list[tuple[str, Any, int | None]]
+    when: list[Condition]
+    then: list[Write]
     until: Instant = ALWAYS
 
 
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -19,8 +19,8 @@
 from .machines import Fleet
 from .quota import Quota
 from .shares import Shares
-from .store import JOB, LIVE, Store
-from .types import Cancel, Poll, SendToPeer, Submit, UserAnswer
+from .store import JOB, LIVE, CommitResult, Store
+from .types import Cancel, Condition, Poll, SendToPeer, Submit, UserAnswer, Write
 
 GIVEN_UP_S = 3.0  # a change not sent by then has been refused to its user
 MAX_BACKLOG_S = 0.7  # changes waiting for the write budget
@@ -208,19 +208,19 @@
             return
         self._creating[spec.team] += 1
 
-        def result(outcome: str, stamp: Stamp) -> None:
+        def result(outcome: CommitResult, stamp: Stamp) -> None:
             self._creating[spec.team] -= 1
-            if outcome == "ok":
+            if outcome is CommitResult.OK:
                 self.context.emit(UserAnswer(request, 201, job_state(uid, "queued")))
                 self.tell_owner(self.shares.of_team(Team(spec.team)), SyncRequest())
-            elif outcome == "conflict":
+            elif outcome is CommitResult.CONFLICT:
                 self._after_sync(request, lambda: self._known(request, uid))
             else:
                 self.refuse(request, 503, 1.0, "not stored")
 
         self.store.commit(
-            [(JOB + uid, ABSENT)],
-            [(JOB + uid, job_value(spec, "accepted"), None)],
+            [Condition(JOB + uid, ABSENT)],
+            [Write(JOB + uid, job_value(spec, "accepted"))],
             result,
             Store.USER,
             later(self.context.now, GIVEN_UP_S),
@@ -257,24 +257,24 @@
             return
         key = JOB + uid
 
-        def result(outcome: str, stamp: Stamp) -> None:
-            if outcome == "ok":
+        def result(outcome: CommitResult, stamp: Stamp) -> None:
+            if outcome is CommitResult.OK:
                 # Everybody, as the owner may have lost contact, and be vouched for by any of
                 # them: they pass it on with their vouch.
                 self.context.emit(SendToPeer(None, CancellationNotice(uid)))
                 self._answer_final(request, uid)
-            elif outcome == "unknown":
+            elif outcome is CommitResult.UNKNOWN:
                 # It may stand, and others may read it: they too tell it only when it is safe.
                 self.refuse(request, 503, 1.0, "not known to be stored")
-            elif outcome == "conflict" and tries > 1:
+            elif outcome is CommitResult.CONFLICT and tries > 1:
                 self._after_sync(request, lambda: self._cancel(request, uid, tries - 1))
             else:
                 self.refuse(request, 503, 1.0, "not stored")
 
         # The owner's live key stands: it hears of this, or it loses its authority in time.
         self.store.commit(
-            [(key, int(job.stamp)), (LIVE + owner, self.store.stamp(LIVE + owner))],
-            [(key, final_value(job.spec, "cancelled", self.context.limits.value_bytes), None)],
+            [Condition(key, job.stamp), self.store.expect(LIVE + owner)],
+            [Write(key, final_value(job.spec, "cancelled", self.context.limits.value_bytes))],
             result,
             Store.OWNER,
             later(self.context.now, GIVEN_UP_S),
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -11,7 +11,8 @@
 
 from .context import Context
 from .ids import ABSENT, Member, Stamp
-from .store import FORMAT, LIVE, Store
+from .store import FORMAT, LIVE, CommitResult, Store
+from .types import Condition, Write
 
 FORMER = 1
 VERSION = 2
@@ -48,7 +49,7 @@
         """None: not seen yet."""
         return {member: self._seen.get(member) for member in self.context.members}
 
-    def note(self, guard: tuple[str, int]) -> None:
+    def note(self, guard: Condition) -> None:
         """By the leader: note that all are of this version, once they are."""
         if (
             self._noting
@@ -58,14 +59,14 @@
             return
         self._noting = True
 
-        def done(result: str, stamp: Stamp) -> None:
+        def done(result: CommitResult, stamp: Stamp) -> None:
             self._noting = False
 
         # Those that live must still be the ones that were seen.
-        when = [(LIVE + m, int(self.store.stamp(LIVE + m))) for m in self.context.members]
+        when = [self.store.expect(LIVE + m) for m in self.context.members]
         self.store.commit(
-            [guard, (FORMAT, int(ABSENT)), *when],
-            [(FORMAT, {"version": VERSION}, None)],
+            [guard, Condition(FORMAT, ABSENT), *when],
+            [Write(FORMAT, {"version": VERSION})],
             done,
             Store.LATER,
         )
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -103,30 +103,39 @@
                 log.log(LEVELS[effect.level], "%s", effect.text)
             case t.SendToPeer():
                 self._links.send(effect.member, effect.message)
-            case t.Follow():
-                self._start(effect.tag, self._state.follow(ROOT, effect.since))
-            case t.ReadAll():
-                self._start(effect.tag, self._state.read_all(ROOT))
-            case t.Commit():
-                self._start(effect.tag, self._state.commit(effect))
-            case t.GrantLease():
-                self._start(effect.tag, self._state.grant(effect.ttl_ms))
-            case t.ExtendLease():
-                self._start(effect.tag, self._state.extend(effect.lease))
+            case _:
+                self._start(effect.tag, self._call(effect))
+
+    def _call(self, effect: Any) -> Coroutine[Any, Any, Result]:
+        """The call to an outside system that an effect asks for."""
+        match effect:
             case t.Command():
-                self._start(effect.tag, self._workers.command(effect))
+                return self._workers.command(effect)
             case t.Probe():
-                self._start(effect.tag, self._workers.status(effect.addr))
+                return self._workers.status(effect.addr)
             case t.ReadCatalog():
-                self._start(effect.tag, self._cloud.catalog())
+                return self._cloud.catalog()
             case t.ListMachines():
-                self._start(effect.tag, self._cloud.list_machines())
+                return self._cloud.list_machines()
             case t.Rent():
-                self._start(effect.tag, self._cloud.rent(effect))
+                return self._cloud.rent(effect)
             case t.Release():
-                self._start(effect.tag, self._cloud.release(effect.machines))
-            case _:
-                raise TypeError(f"unknown effect {effect!r}")
+                return self._cloud.release(effect.machines)
+        return self._state_call(effect)
+
+    def _state_call(self, effect: Any) -> Coroutine[Any, Any, Result]:
+        match effect:
+            case t.Follow():
+                return self._state.follow(ROOT, effect.since)
+            case t.ReadAll():
+                return self._state.read_all(ROOT)
+            case t.Commit():
+                return self._state.commit(effect)
+            case t.GrantLease():
+                return self._state.grant(effect.ttl_ms)
+            case t.ExtendLease():
+                return self._state.extend(effect.lease)
+        raise TypeError(f"unknown effect {effect!r}")
 
     def _start(self, tag: Any, work: Coroutine[Any, Any, Result]) -> None:
         began = self._loop.time()
--- a/runcourse/wire/messages.py
+++ b/runcourse/wire/messages.py
@@ -18,10 +18,12 @@
 from ..core.jobs import MAX_TASKS, RANKS, UID, JobSpec
 from ..core.types import (
     CloudMachine,
+    Condition,
     MachineType,
     Order,
     Report,
     TaskReport,
+    Write,
 )
 
 MAX_BODY = 64 * 1024
@@ -476,9 +478,7 @@
     return _convert(decode_map(body), _Grant).grant
 
 
-def transaction(
-    when: Iterable[tuple[str, int]], then: Iterable[tuple[str, Any, int | None]]
-) -> dict[str, Any]:
+def transaction(when: Iterable[Condition], then: Iterable[Write]) -> dict[str, Any]:
     """`then`: (key, value, grant); a value of None drops the key."""
     ops: list[dict[str, Any]] = []
     for key, value, grant in then:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -34,6 +34,8 @@
 
 
 class StateService:
+    """The state service as PROTOCOL describes it, without limits."""
+
     def __init__(self) -> None:
         self.data: dict[str, tuple[Any, int]] = {}
         self.log: list[dict[str, Any]] = []
@@ -151,6 +153,8 @@
 
 
 class Cloud:
+    """The cloud, with a worker for each machine that it rents."""
+
     def __init__(self, api_port: int) -> None:
         self.api_port = api_port
         self.workers: dict[str, Worker] = {}
@@ -248,6 +252,8 @@
 
 
 class Standins:
+    """The state service and the cloud on loopback."""
+
     async def start(self) -> str:
         """Serve, and give the settings for a controller beside them."""
         api = free_port()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -46,6 +46,8 @@
 
 
 class Service:
+    """A real controller beside the stand-ins."""
+
     def __init__(self, standins: Standins, daemon: Daemon) -> None:
         self.standins = standins
         self.daemon = daemon
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -10,7 +10,8 @@
 
 from runcourse.core import types as t
 from runcourse.core.ids import Instant
-from runcourse.core.store import FRESH_S, Store
+from runcourse.core.store import FRESH_S, CommitResult, Store
+from runcourse.core.types import Write
 
 
 def with_service(members: tuple[str, ...], **settings: Any) -> tuple[World, str]:
@@ -114,10 +115,10 @@
     world = ready()
     store: Store = world.nodes["n0"].store  # type: ignore[union-attr]
     store._paused_until = Instant(world.now + 5.0)
-    results: list[str] = []
+    results: list[CommitResult] = []
     store.commit(
         [],
-        [("rc/x", 1, None)],
+        [Write("rc/x", 1)],
         lambda result, stamp: results.append(result),
         Store.USER,
         Instant(world.now + 3.0),
@@ -125,7 +126,9 @@
     world.run(2.0)
     assert not results and store.backlog > 0
     world.run(1.2)
-    assert results == ["refused"] and not store.failing and "rc/x" not in world.state.data
+    assert (
+        results == [CommitResult.REFUSED] and not store.failing and "rc/x" not in world.state.data
+    )
 
 
 @BOTH
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,7 +7,8 @@
 
 from runcourse.core import types as t
 from runcourse.core.ids import Instant
-from runcourse.core.store import ROOT, TRIES, Store
+from runcourse.core.store import ROOT, TRIES, CommitResult, Store
+from runcourse.core.types import Write
 
 
 def store_with(*changes: tuple[str, Any, int], epoch: int = 1) -> Store:
@@ -42,7 +43,7 @@
     """A 429 was not executed: the user who waits is not sent away for it at once."""
     store = store_with()
     results: list[str] = []
-    store.commit([], [("k", 1, None)], lambda r, s: results.append(r))
+    store.commit([], [Write("k", 1)], lambda r, s: results.append(r))
     for _ in range(TRIES - 1):
         answer(store, 429)
         assert not results and not store.context.effects, "the service asked for a pause"
@@ -50,13 +51,13 @@
         store.context.effects = [e for e in store.context.effects if isinstance(e, t.Commit)]
         assert len(store.context.effects) == 1
     answer(store, 200, 7)
-    assert results == ["ok"] and store.get("k") == 1 and store.stamp("k") == 7
-    store.commit([], [("k", 2, None)], lambda r, s: results.append(r))
+    assert results == [CommitResult.OK] and store.get("k") == 1 and store.stamp("k") == 7
+    store.commit([], [Write("k", 2)], lambda r, s: results.append(r))
     for _ in range(TRIES):
         later(store, 0.15)
         store.context.effects = [e for e in store.context.effects if isinstance(e, t.Commit)]
         answer(store, 429)
-    assert results == ["ok", "refused"], "and not held for ever"
+    assert results == [CommitResult.OK, CommitResult.REFUSED], "and not held for ever"
 
 
 def test_a_change_of_unknown_fate_is_looked_up() -> None:
@@ -65,9 +66,9 @@
     later(store, 1.0)
     answer(store, 200, ([], 1))
     store.context.now = Instant(store.context.now + 0.1)
-    store.commit([], [("rc/k", 1, None)], lambda r, s: results.append(r))
+    store.commit([], [Write("rc/k", 1)], lambda r, s: results.append(r))
     answer(store, 0)
-    assert results == ["unknown"] and store.get("rc/k") is None
+    assert results == [CommitResult.UNKNOWN] and store.get("rc/k") is None
     later(store, 0.2)
     assert isinstance(answer(store, 200, ([("rc/k", 1, 8)], 8)), t.Follow)
     assert store.get("rc/k") == 1
@@ -75,7 +76,7 @@
 
 def test_an_older_read_does_not_undo_a_newer_change() -> None:
     store = store_with()
-    store.commit([], [("k", "new", None)], lambda r, s: None)
+    store.commit([], [Write("k", "new")], lambda r, s: None)
     answer(store, 200, 9)
     later(store, 1.0)
     answer(store, 200, ([("k", "old", 5)], 5))
@@ -117,7 +118,7 @@
 def test_a_late_answer_brings_back_nothing_that_was_dropped_since() -> None:
     """What is dropped is forgotten once no read can bring it back, or it would grow for ever."""
     store = store_with()
-    store.commit([], [(ROOT + "k", 1, None)], lambda r, s: None)
+    store.commit([], [Write(ROOT + "k", 1)], lambda r, s: None)
     commit = store.context.effects.pop(0)
     later(store, 1.0)
     answer(store, 200, ([(ROOT + "k", 1, 10), (ROOT + "k", None, 12)], 12))
@@ -132,10 +133,10 @@
     results: dict[str, str] = {}
     pace = store._writes.rate
     store.failing = True
-    store.commit([], [("own", 1, None)], lambda r, s: results.update(own=r))
+    store.commit([], [Write("own", 1)], lambda r, s: results.update(own=r))
     store.commit(
         [],
-        [("user", 1, None)],
+        [Write("user", 1)],
         lambda r, s: results.update(user=r),
         Store.USER,
         Instant(store.context.now + 60.0),
@@ -146,7 +147,7 @@
         for effect in list(store.context.effects):
             assert isinstance(effect, t.Follow)
             answer(store, 503)
-    assert results == {"user": "refused"} and store._writes.rate == pace
+    assert results == {"user": CommitResult.REFUSED} and store._writes.rate == pace
     later(store, 0.3)
     answer(store, 200, ([], 1))
     later(store, 0.05)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,7 +3,8 @@
 import pytest
 
 from runcourse.core import types as t
-from runcourse.core.ids import Attempt, JobId, Session, TaskId, Token
+from runcourse.core.ids import ABSENT, Attempt, JobId, Session, TaskId, Token
+from runcourse.core.types import Condition, Write
 from runcourse.wire import messages as wire
 
 JOB = {
@@ -128,7 +129,9 @@
     )
     assert epoch == 433
     assert changes == [("c/9", {"a": 1}, 433), ("c/d", None, 432)]
-    assert wire.transaction([("a/b", 0)], [("a/b", {"x": 1}, 7), ("c/d", None, None)]) == {
+    assert wire.transaction(
+        [Condition("a/b", ABSENT)], [Write("a/b", {"x": 1}, 7), Write("c/d", None)]
+    ) == {
         "when": [{"key": "a/b", "stamp": 0}],
         "then": [{"write": "a/b", "value": {"x": 1}, "grant": 7}, {"drop": "c/d"}],
     }
--- a/tests/world.py
+++ b/tests/world.py
@@ -55,6 +55,8 @@
 
 
 class World:
+    """Nodes, workers, users, the state service and the cloud on one fake clock."""
+
     def __init__(
         self,
         seed: int = 1,
