--- a/runcourse/cli.py
+++ b/runcourse/cli.py
@@ -8,7 +8,9 @@
 import sys
 from pathlib import Path
 
-from .config import SettingsError, load_operators, load_platform
+from .config import load_operators, load_platform
+from .errors import SettingsError
+from .policy_file import PolicyFile
 
 EXIT_USAGE = 2
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -32,6 +34,12 @@
         command.add_argument(
             "--operators", type=Path, metavar="FILE", help="operators' own settings (S-expressions)"
         )
+        command.add_argument(
+            "--locality",
+            type=Path,
+            metavar="FILE",
+            help="data sources and rebalancing; off if absent",
+        )
     for name, text in [
         ("submit", "submit a job read from a JSON file"),
         ("status", "print a job's state"),
@@ -45,6 +53,10 @@
             "what",
             help="a JSON file, or - for standard input" if name == "submit" else "the job's id",
         )
+    command = commands.add_parser("reload", help="have a controller read its locality file again")
+    command.add_argument(
+        "--internal", required=True, metavar="HOST:PORT", help="a controller's internal_addr"
+    )
     command = commands.add_parser(
         "inspect",
         help="print a controller's view: shares, owners, machines, waiting work and why it waits",
@@ -52,6 +64,7 @@
     command.add_argument(
         "--internal", required=True, metavar="HOST:PORT", help="a controller's internal_addr"
     )
+    command.add_argument("--json", action="store_true", help="for programs, instead of tables")
     return parser
 
 
@@ -71,29 +84,34 @@
         if args.command == "serve":
             return _serve(args)
         if args.command == "check-config":
-            load_platform(args.config)
+            platform = load_platform(args.config)
             load_operators(args.operators)
+            if args.locality is not None:
+                PolicyFile(args.locality, platform)
             print("settings are fine")
             return 0
     except SettingsError as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
         return EXIT_USAGE
-    from .client import run_client, run_inspect
+    from .client import run_client, run_inspect, run_reload
 
     if args.command == "inspect":
-        return run_inspect(args.internal)
+        return run_inspect(args.internal, args.json)
+    if args.command == "reload":
+        return run_reload(args.internal)
     return run_client(args.command, args.api, args.what)
 
 
 def _serve(args: argparse.Namespace) -> int:
     platform = load_platform(args.config)
     operators = load_operators(args.operators)
+    policy_file = PolicyFile(args.locality, platform) if args.locality is not None else None
     import uvloop
 
     from .daemon import Daemon
 
     async def run() -> None:
-        await Daemon(platform, operators).run()
+        await Daemon(platform, operators, policy_file=policy_file).run()
 
     try:
         uvloop.run(run())
--- a/runcourse/client.py
+++ b/runcourse/client.py
@@ -11,9 +11,11 @@
 
 import msgspec
 
-from .config import SettingsError, address
+from .config import address
+from .errors import SettingsError
 from .net.http import Client, NotSent, Unanswered
 from .wire import messages as wire
+from .wire.peer_messages import OperatorQuestion
 
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
@@ -53,25 +55,49 @@
     return "GET", f"/v1/jobs/{what}", None
 
 
-def read_status(host: str, port: int) -> dict[str, Any]:
-    """Ask a controller's internal address for its view; one JSON line each way."""
+def ask(host: str, port: int, question: str) -> dict[str, Any]:
+    """Ask a controller's internal address; one JSON line each way."""
     with socket.create_connection((host, port), timeout=5.0) as link:
-        link.sendall(b'{"ask":"status"}\n')
+        link.sendall(msgspec.json.encode(OperatorQuestion(question)) + b"\n")
         with link.makefile("rb") as answer:
             return msgspec.json.decode(answer.readline(), type=dict[str, Any])
 
 
-def run_inspect(internal: str) -> int:
-    """Print a controller's view of the service; returns the exit code."""
+def _ask_or_report(internal: str, question: str) -> dict[str, Any] | int:
+    """The answer, or the exit code after the reason was printed."""
     try:
-        status = read_status(*address(internal, "--internal"))
+        return ask(*address(internal, "--internal"), question)
     except SettingsError as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
         return EXIT_USAGE
     except (OSError, msgspec.DecodeError) as problem:
         print(f"runcourse: no answer: {problem}", file=sys.stderr)
         return EXIT_UNREACHABLE
-    print(json.dumps(status, indent=1))
+
+
+def run_inspect(internal: str, as_json: bool) -> int:
+    """Print a controller's view of the service; returns the exit code."""
+    status = _ask_or_report(internal, "status")
+    if isinstance(status, int):
+        return status
+    if as_json:
+        print(json.dumps(status, indent=1))
+    else:
+        from .tables import render
+
+        print(render(status))
+    return 0
+
+
+def run_reload(internal: str) -> int:
+    """Have a controller read its locality file again; returns the exit code."""
+    answer = _ask_or_report(internal, "reload")
+    if isinstance(answer, int):
+        return answer
+    if "error" in answer:
+        print(f"runcourse: {answer['error']}", file=sys.stderr)
+        return EXIT_REFUSED
+    print(f"reloaded {answer['reloaded']}")
     return 0
 
 
--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -7,22 +7,20 @@
 
 import tomllib
 from pathlib import Path
-from typing import Annotated, Any, NamedTuple
+from typing import Annotated, NamedTuple
 
 import msgspec
-import sexpdata
 from msgspec import Meta, Struct, field
 
+from .errors import SettingsError, settings_fault
+from .sexp_settings import read_entries, to_struct
+
 Name = Annotated[str, Meta(min_length=1)]
 Positive = Annotated[float, Meta(gt=0)]
 NonNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
 
 
-class SettingsError(Exception):
-    """A faulty settings file; the message names file, field and reason."""
-
-
 class Peer(Struct, frozen=True):
     """Another controller."""
 
@@ -192,13 +190,6 @@
     return host, int(port)
 
 
-def _reason(path: Path, problem: msgspec.ValidationError) -> SettingsError:
-    text = str(problem)
-    reason, _, place = text.partition(" - at `$")
-    place = place.rstrip("`").lstrip(".")
-    return SettingsError(f"{path}: {place or 'settings'}: {reason}")
-
-
 def load_platform(path: Path) -> Platform:
     """Read and check the platform's settings file."""
     try:
@@ -210,7 +201,7 @@
     try:
         platform = msgspec.convert(raw, Platform, strict=False)
     except msgspec.ValidationError as problem:
-        raise _reason(path, problem) from problem
+        raise settings_fault(path, problem) from problem
     for where, text in [
         ("api_addr", platform.api_addr),
         ("internal_addr", platform.internal_addr),
@@ -237,28 +228,4 @@
     """`(runcourse (name value) ...)`; what is left out keeps its default."""
     if path is None:
         return Operators()
-    try:
-        tree = sexpdata.loads(  # type: ignore[no-untyped-call]
-            path.read_text(encoding="utf-8")
-        )
-    except OSError as problem:
-        raise SettingsError(f"{path}: file: {problem.strerror}") from problem
-    except Exception as problem:  # sexpdata has no common base for what it raises
-        raise SettingsError(f"{path}: file: not an S-expression: {problem}") from problem
-    if not isinstance(tree, list) or not tree or str(tree[0]) != "runcourse":
-        raise SettingsError(f"{path}: file: expected (runcourse (name value) ...)")
-    raw: dict[str, Any] = {}
-    known = {f.encode_name for f in msgspec.structs.fields(Operators)}
-    for entry in tree[1:]:
-        if not isinstance(entry, list) or len(entry) != 2:
-            raise SettingsError(f"{path}: {entry}: expected (name value)")
-        name = str(entry[0])
-        if name not in known:
-            raise SettingsError(f"{path}: {name}: unknown setting")
-        if name in raw:
-            raise SettingsError(f"{path}: {name}: given twice")
-        raw[name] = entry[1]
-    try:
-        return msgspec.convert(raw, Operators)
-    except msgspec.ValidationError as problem:
-        raise _reason(path, problem) from problem
+    return to_struct(path, read_entries(path, "runcourse"), Operators)
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -141,6 +141,7 @@
         "reached",
         "record",
         "report_number",
+        "reservations",
         "room",
         "seq",
         "session",
@@ -179,6 +180,7 @@
         self.notice_until: Instant | None = None
         self.placements: dict[Key, Placement] = {}
         self.used = NOTHING
+        self.reservations: dict[TaskId, Size] = {}  # room kept for tasks that are being moved
         self.room = NOTHING
         self.ranks: dict[int, float] = {}  # CPUs of what is on it, by rank
         self.fetches: dict[str, float] | None = None  # images under way; None: to be counted
@@ -219,6 +221,18 @@
         """Set what is allocated on it."""
         self.used = used
         self.room = self.type.size.minus(used) if self.type else NOTHING
+        for size in self.reservations.values():
+            self.room = self.room.minus(size)
+
+    def reserve(self, task: TaskId, size: Size) -> None:
+        """Keep room for a task that is being moved here."""
+        self.reservations[task] = size
+        self.use(self.used)
+
+    def unreserve(self, task: TaskId) -> None:
+        """Let the room go that was kept for the task."""
+        self.reservations.pop(task, None)
+        self.use(self.used)
 
     def raise_fence(self) -> Token:
         """Raise the token and return it: earlier commands can't be carried out any more."""
@@ -272,6 +286,7 @@
         # up, or it is paid for ever.
         return (
             bool(self.placements)
+            or bool(self.reservations)
             or self.do_open
             or not self.settled
             or (self.suspected and self.heard >= 0)
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -28,6 +28,7 @@
 from .ids import LONG_AGO, Instant, JobId, MachineId, Member, ShareNo, Stamp
 from .jobs import PART_BITS, Jobs
 from .machines import Fleet
+from .policy import NoPolicy, PlacementPolicy
 from .quota import Quota
 from .rental import Rental
 from .scheduler import Scheduler
@@ -39,6 +40,7 @@
     Outcome,
     PeerMessageReceived,
     Poll,
+    ReplacePolicySettings,
     ReportAnswer,
     ReportReceived,
     SendToPeer,
@@ -59,7 +61,12 @@
     """The state machine of one controller, made of the modules of the core."""
 
     def __init__(
-        self, platform: Platform, operators: Operators, rng: random.Random, now: Instant
+        self,
+        platform: Platform,
+        operators: Operators,
+        rng: random.Random,
+        now: Instant,
+        policy: PlacementPolicy | None = None,
     ) -> None:
         self.context = context = Context(platform, operators, rng, now=now, started=now)
         self.store = Store(context)
@@ -76,9 +83,12 @@
         )
         self.shares = Shares(context, self.store, self.authority, self._on_gain, self._on_loss)
         self.quota = Quota(context)
-        self.scheduler = Scheduler(context, self.store, self.shares, self.jobs, self.quota)
+        self.policy = policy or NoPolicy()
+        self.scheduler = Scheduler(
+            context, self.store, self.shares, self.jobs, self.quota, self.policy
+        )
         self.fleet = Fleet(context, self.store, self.shares, self.jobs, self.scheduler)
-        self.scheduler.join(self.fleet)
+        self.scheduler.join(self.fleet, self.authority, self.versions)
         self.shares.all_heard = self.fleet.all_heard
         self.rental = Rental(
             context,
@@ -138,6 +148,10 @@
                 self.users.cancel(event)
             case Tick():
                 self._tick()
+            case ReplacePolicySettings():
+                for line in self.policy.replace(event.settings, self.context.now):
+                    self.context.log("warning", line)
+                self.scheduler.changed()
             case PeerMessageReceived():
                 self._peer_said(event.member, event.message)
             case Health():
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -7,6 +7,7 @@
 from functools import cache
 from itertools import groupby
 
+from .authority import Authority
 from .budget import Budget
 from .context import Context
 from .draining import Draining
@@ -19,8 +20,10 @@
 from .jobs import Job, Jobs
 from .machine import Machine, Placement
 from .machines import Fleet
+from .migrations import Migrations
 from .order import Order
 from .placement import Size
+from .policy import PlacementPolicy
 from .preemption import Preemption
 from .quota import Quota
 from .scoring import Scoring
@@ -29,6 +32,7 @@
 from .task_placement import TaskPlacement
 from .turn import Turn, Unmet
 from .unlocated import UnlocatedTasks
+from .versions import Versions
 from .work import (
     Work,
     fetches_or_holds,
@@ -47,7 +51,13 @@
     """Watches the ledger, and fills machines with the tasks that wait."""
 
     def __init__(
-        self, context: Context, store: Store, shares: Shares, jobs: Jobs, quota: Quota
+        self,
+        context: Context,
+        store: Store,
+        shares: Shares,
+        jobs: Jobs,
+        quota: Quota,
+        policy: PlacementPolicy,
     ) -> None:
         self.context = context
         self.store = store
@@ -60,14 +70,14 @@
         self._dirty = True
         self._next_turn = Instant(0.0)
         self._due_at = ALWAYS  # when what backs off is to be looked at again
-        self._ending: dict[JobId, tuple[Job, Instant]] = {}  # cancelled; until when they may run
         self.finishes = Finishes(context, store, shares)
         self.budget = Budget(context)
-        self.scoring = Scoring(context)
+        self.policy = policy
+        self.scoring = Scoring(context, policy)
         self.image_supply = ImageSupply(context)
         self._queued = 0  # jobs that waited in the newest turn
 
-    def join(self, fleet: Fleet) -> None:
+    def join(self, fleet: Fleet, authority: Authority, versions: Versions) -> None:
         """The ledger tells the scheduler of changes, and the scheduler changes the ledger: the
         node builds the two for each other."""
         self.fleet = fleet
@@ -100,6 +110,18 @@
             self.failures,
         )
         self.draining = Draining(self.context, self.shares, fleet, self.work, self.gangs)
+        self.migrations = Migrations(
+            self.context,
+            self.store,
+            authority,
+            versions,
+            self.shares,
+            fleet,
+            self.quota,
+            self.work,
+            self.unmet,
+            self.policy,
+        )
 
     # --- jobs ----------------------------------------------------------------------------
 
@@ -117,12 +139,15 @@
 
     def gain(self, holding: Holding) -> None:
         """The share is owned here from now on."""
+        self.policy.gained(holding, self.context.now)
         for job in self.jobs.open_jobs():
             if self.shares.of_team(Team(job.spec.team)) == holding.number:
                 self._open(job, holding.number)
 
     def lose(self, share: ShareNo) -> None:
         """The share is not owned here any more."""
+        self.policy.lost(share)
+        self.migrations.lose(share)
         for uid in [u for u, w in self.work.items() if w.share == share]:
             del self.work[uid]
             self.finishes.drop(uid)
@@ -186,6 +211,7 @@
     def gone(self, placement: Placement, why: str) -> None:
         """The attempt is over, whatever the reason."""
         self._dirty = True
+        self.migrations.gone(placement, why)
         work = self.work.get(placement.task.job)
         if work is None:
             return
@@ -198,6 +224,7 @@
                 self.finishes.add(work, number)
             machine.errors.clear()
             machine.did_well = now
+            self.policy.finished(placement, now - placement.ran_since)
             self.failures.acquit(work)
         elif why == "error":
             self.failures.failed(work, placement)
@@ -258,6 +285,7 @@
         waiting.sort(key=lambda work: urgency[work.job.uid])
         turn = self._begin(holding, waiting, mistaken, hidden)
         plenty = self.image_supply.plentiful(holding, waiting, turn.usable, turn.roomy)
+        self.migrations.serve(turn)
         self.placement.serve_overdue(turn, waiting)
         # Class by class: what leaves a machine to others must not stop them for it at once.
         for _, together in groupby(waiting, key=lambda work: urgency[work.job.uid][:2]):
@@ -354,3 +382,4 @@
         """Go on with what time alone brings about."""
         self.unlocated.tick()
         self.draining.tick()
+        self.migrations.tick()
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -8,6 +8,7 @@
 from .jobs import Job
 from .machine import Machine
 from .placement import TINY_CPU, Size, progress
+from .policy import NoPolicy, PlacementPolicy
 from .work import fetch_s
 
 AT_RISK = 0.1  # part of a share's replicas, by CPUs, that may gather on one machine
@@ -20,8 +21,9 @@
 class Scoring:
     """Scores machines; higher is better."""
 
-    def __init__(self, context: Context) -> None:
+    def __init__(self, context: Context, policy: PlacementPolicy | None = None) -> None:
         self.context = context
+        self.policy = policy or NoPolicy()
         self._lasting = 0.0  # CPUs of services in the share whose turn it is
 
     def begin(self, machines: Iterable[Machine]) -> None:
@@ -35,6 +37,10 @@
         score = progress(machine.type.size, used, job.size)
         # Extension: seconds until the image is there.
         score -= self.context.operators.image_weight * fetch_s(job, machine)
+        if self.policy.active:
+            # Extension: seconds until the data is there, or lost by load.
+            cost_s = self.policy.cost_s(job.spec, machine, self.context.now)
+            score -= self.context.operators.image_weight * cost_s
         if self.context.operators.gather_weight:
             score += self.context.operators.gather_weight * self._consolidation(job, machine, used)
         return score
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -37,6 +37,7 @@
             "usable": node.fleet.usable(m),
             "set_aside": now < m.quarantined_until,
             "leaving": m.record.leaving,
+            "heat": node.policy.heat_of(m.id),
             "heard_s": round(now - m.heard, 1) if m.heard > LONG_AGO else None,
         }
         for m in node.fleet.machines.values()
@@ -76,4 +77,5 @@
         "machines": machines,
         "waiting": waiting,
         "gangs": gangs,
+        "locality": node.scheduler.migrations.status(),
     }
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -137,11 +137,13 @@
     def _fitting(self, turn: Turn, work: Work, machines: Iterable[Machine]) -> list[Machine]:
         """Machines with room for a task of the job, where it is allowed."""
         size = work.job.size
-        return [
+        fits = [
             m
             for m in machines
             if size.fits(m.room) and m.id not in turn.claimed and permits(work.job, m)
         ]
+        policy = self.scoring.policy
+        return policy.candidates(work, fits) if policy.active else fits
 
     def _open(self, turn: Turn, work: Work, machine: Machine) -> bool:
         """Not reserved for another. Replicas look elsewhere at first, or a stream of new ones would
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -140,6 +140,12 @@
     pass
 
 
+class ReplacePolicySettings(msgspec.Struct):
+    """Operators changed the settings of the placement policy; they have been checked."""
+
+    settings: Any
+
+
 class Outcome(msgspec.Struct):
     """The result of an effect that asked for one: `tag` is the effect's.
 
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -6,6 +6,7 @@
 import gc
 import logging
 import random
+import signal
 from collections.abc import Coroutine
 from typing import Any
 
@@ -15,9 +16,11 @@
 from .core.node import Node
 from .core.status import status_of
 from .core.store import ROOT
+from .errors import SettingsError
 from .net.clients import Cloud, Result, StateService, Workers
 from .net.http import Reply, Server
 from .net.peers import PeerLinks
+from .policy_file import PolicyFile
 from .wire import messages as wire
 from .wire.peer_messages import OperatorQuestion, PeerMessage
 
@@ -38,11 +41,22 @@
     """One controller as a process."""
 
     def __init__(
-        self, platform: Platform, operators: Operators, rng: random.Random | None = None
+        self,
+        platform: Platform,
+        operators: Operators,
+        rng: random.Random | None = None,
+        policy_file: PolicyFile | None = None,
     ) -> None:
         self._platform = platform
         self._loop = asyncio.get_running_loop()
-        self.node = Node(platform, operators, rng or random.Random(), Instant(self._loop.time()))
+        self._policy_file = policy_file
+        self.node = Node(
+            platform,
+            operators,
+            rng or random.Random(),
+            Instant(self._loop.time()),
+            policy_file.make() if policy_file else None,
+        )
         self._state = StateService(*address(platform.services.state, "services.state"))
         self._cloud = Cloud(
             *address(platform.services.cloud, "services.cloud"), platform.settings.cloud.rps
@@ -78,6 +92,8 @@
         """Open the listening sockets."""
         await self._server.start(*address(self._platform.api_addr, "api_addr"))
         await self._links.start(*address(self._platform.internal_addr, "internal_addr"))
+        if self._policy_file is not None:
+            self._loop.add_signal_handler(signal.SIGHUP, self.reload)
         log.info("serving as %s", self._platform.member)
 
     async def close(self) -> None:
@@ -137,6 +153,19 @@
                 return self._state.extend(effect.lease)
         raise TypeError(f"unknown effect {effect!r}")
 
+    def reload(self) -> dict[str, Any]:
+        """Read the policy's file again; a faulty one leaves the old settings in force."""
+        if self._policy_file is None:
+            return {"error": "no policy file was named when this controller was started"}
+        try:
+            settings = self._policy_file.load()
+        except SettingsError as problem:
+            log.error("settings not replaced: %s", problem)
+            return {"error": str(problem)}
+        self._feed(t.ReplacePolicySettings(settings))
+        log.info("settings replaced: %s", self._policy_file.path)
+        return {"reloaded": str(self._policy_file.path)}
+
     def _start(self, tag: Any, work: Coroutine[Any, Any, Result]) -> None:
         began = self._loop.time()
 
@@ -165,6 +194,8 @@
     def _operators_ask(self, question: OperatorQuestion) -> dict[str, Any]:
         if question.ask == "status":
             return status_of(self.node)
+        if question.ask == "reload":
+            return self.reload()
         return {"error": "unknown question"}
 
     async def _serve_internal(self, method: str, target: str, body: bytes) -> Reply:
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -8,7 +8,7 @@
 
 from prometheus_client import CollectorRegistry
 from prometheus_client.exposition import CONTENT_TYPE_PLAIN_0_0_4, generate_latest
-from prometheus_client.metrics_core import GaugeMetricFamily, Metric
+from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
 from ..core.node import Node
@@ -87,6 +87,30 @@
         for phase in ("idle", "placed", "running", "ending"):
             gangs.add_metric([phase], phases[phase])
         yield gangs
+        if node.policy.active:
+            yield from self._moves()
+
+    def _moves(self) -> Iterable[Metric]:
+        """What the locality policy did; absent while it is off."""
+        status = self.node.scheduler.migrations.status()
+        moves = CounterMetricFamily(
+            "runcourse_moves", "moves of running tasks by this process", labels=["result"]
+        )
+        for result, count in status["moves"].items():
+            moves.add_metric([result], count)
+        yield moves
+        heats = GaugeMetricFamily("runcourse_machine_heat", "machines by load", labels=["heat"])
+        for heat, count in status["machines"].items():
+            heats.add_metric([heat], count)
+        yield heats
+        left = GaugeMetricFamily(
+            "runcourse_moves_left", "moves that a share may make now", labels=["share"]
+        )
+        for share, count in status["moves_left"].items():
+            left.add_metric([str(share)], count)
+        yield left
+        damped = sum(source["damped"] for source in status["sources"])
+        yield GaugeMetricFamily("runcourse_sources_damped", "sources held as flapping", damped)
 
 
 def render(node: Node, connections: int, malformed: int) -> tuple[bytes, str]:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,8 @@
 from standins import SETTINGS
 
 from runcourse.cli import main
-from runcourse.config import SettingsError, load_operators, load_platform
+from runcourse.config import load_operators, load_platform
+from runcourse.errors import SettingsError
 
 ROOT = Path(__file__).resolve().parent.parent
 GOOD = SETTINGS.format(api=1, internal=2, cloud=3, state=4)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -11,7 +11,7 @@
 import pytest
 from standins import Standins
 
-from runcourse.client import read_status
+from runcourse.client import ask
 from runcourse.config import Operators, load_platform
 from runcourse.core import types as t
 from runcourse.core.ids import Instant
@@ -287,4 +287,4 @@
 
 
 async def ask_status(port: int) -> dict[str, Any]:
-    return await asyncio.to_thread(read_status, "127.0.0.1", port)
+    return await asyncio.to_thread(ask, "127.0.0.1", port, "status")
--- /dev/null
+++ b/tests/test_locality_moves.py
@@ -0,0 +1,468 @@
+"""Moves of running tasks in the scripted world: bounded, never twice, whatever fails on the way."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import pytest
+from combined_failures import BOTH
+from world import CANCEL_S, MEMBERS, World, spec
+
+from runcourse.config import Operators
+from runcourse.core.ids import Instant, JobId
+from runcourse.core.machine import Machine
+from runcourse.core.migrations import YOUNG_S, Migration, Migrations
+from runcourse.core.node import Node
+from runcourse.locality.settings import LocalitySettings, Source
+
+UID = "j-000001"
+LONG_S = 4000.0
+
+
+def settings(*zones: str, **changes: Any) -> LocalitySettings:
+    """A source that team-0 reads, in these zones; moves as often as bounds let them be tried."""
+    source = Source("p", zones or ("a",), 200.0, 10.0, 0.5, teams=("team-0",))
+    values: dict[str, Any] = {
+        "sources": (source,),
+        "moves_per_hour": 3600.0,
+        "burst": 1,
+        "interval": 1.0,
+        "dwell": 5.0,
+        "cooldown": 120.0,
+    }
+    return LocalitySettings(**{**values, **changes})
+
+
+def world_with(
+    locality: LocalitySettings, members: tuple[str, ...] = MEMBERS, each: int = 2, **changes: Any
+) -> World:
+    """`each`: machines that each share has in either of two zones; none is returned when empty."""
+    zones = "a" * len(members) + "b" * len(members)
+    values: dict[str, Any] = {"cpus_max": 100.0, "operators": Operators(idle_return=1e6)}
+    world = World(
+        machines=each * len(zones),
+        members=members,
+        locality=locality,
+        machine_zones=zones,
+        **{**values, **changes},
+    )
+    world.run(6.0)
+    return world
+
+
+def array(world: World, uid: str = UID, tasks: int = 2, **changes: Any) -> None:
+    values: dict[str, Any] = {"checkpoint_s": 1.0, "estimate_s": LONG_S, "save_s": 1.0}
+    world.submit(spec(uid, tasks=tasks, **{**values, **changes}))
+    world.until(lambda: len(tasks_of(world, uid)) >= tasks, 30)
+
+
+def tasks_of(world: World, uid: str = UID) -> dict[int, str]:
+    """Zones of the job's tasks that run, by number."""
+    return {
+        task.number: worker.zone
+        for worker in world.workers.values()
+        if worker.alive
+        for (task, _), entry in worker.tasks.items()
+        if task.job == uid and entry[0] == "running"
+    }
+
+
+def nodes(world: World) -> list[Node]:
+    return [node for node in world.nodes.values() if node is not None]
+
+
+def owner(world: World, uid: str = UID) -> Node:
+    found = [n for n in nodes(world) if n.scheduler.work.get(JobId(uid)) is not None]
+    assert len(found) == 1
+    return found[0]
+
+
+def moves(world: World) -> Migrations:
+    return owner(world).scheduler.migrations
+
+
+def begun(world: World) -> int:
+    return sum(n.scheduler.migrations.counts["begun"] for n in nodes(world))
+
+
+def zones_near(world: World, *zones: str) -> bool:
+    return set(tasks_of(world).values()) <= set(zones)
+
+
+def under_way(world: World) -> Migration | None:
+    return next(iter(moves(world)._moves.values()), None)
+
+
+def until_move(world: World) -> Migration:
+    for _ in range(5000):
+        move = under_way(world)
+        if move is not None:
+            return move
+        world.run(0.02)
+    raise AssertionError("no move was begun")
+
+
+def nothing_reserved(world: World) -> bool:
+    return not any(m.reservations for n in nodes(world) for m in n.fleet.machines.values())
+
+
+# --- the picture changes -----------------------------------------------------------------
+
+
+@BOTH
+def test_running_work_follows_its_data_one_task_at_a_time(members: tuple[str, ...]) -> None:
+    world = world_with(settings("a"), members)
+    array(world, tasks=1)
+    assert zones_near(world, "a"), "waiting work goes near its data at once"
+    world.run(YOUNG_S + 5.0)
+    assert begun(world) == 0, "nothing to gain"
+    world.reload(settings("b"))
+    world.until(lambda: zones_near(world, "b") and bool(tasks_of(world)), 120)
+    assert begun(world) == 1 and nothing_reserved(world)
+    assert owner(world).scheduler.migrations.counts["completed"] == 1
+    assert not world.broken
+
+
+def test_a_task_that_loses_its_locality_again_and_again_is_not_moved_each_time() -> None:
+    """A rebuild shard whose source moves every 30 s for ten minutes."""
+
+    def story(damping: bool) -> int:
+        # Without damping: no cooldown to speak of, and no source ever held as flapping.
+        bounds: dict[str, Any] = {"flap_changes": 3, "cooldown": 120.0}
+        if not damping:
+            bounds = {"flap_changes": 1000, "cooldown": 1.0, "cooldown_most": 1.0}
+        world = world_with(settings("a", **bounds))
+        array(world, tasks=1)
+        for n in range(20):
+            world.run(40.0)
+            world.reload(settings("ab"[(n + 1) % 2], **bounds))
+        assert not world.broken
+        return begun(world)
+
+    assert story(damping=True) <= 2
+    assert story(damping=False) >= 8, "what it is without"
+
+
+def test_weight_zero_places_as_without_any_policy() -> None:
+    def story(locality: LocalitySettings | None) -> list[Any]:
+        world = World(seed=5, machines=12, cpus_max=100.0, locality=locality)
+        world.run(3.0)
+        for n in range(60):
+            changes: dict[str, Any] = {"estimate_s": 3.0 + n % 7, "team": f"team-{n % 4}"}
+            if n % 5 == 0:
+                changes |= {"service": True, "rank": 0, "spread": True}
+            world.submit(spec(f"j-{n:06d}", tasks=1 + n % 4, cpus=0.5 + n % 2, **changes))
+            world.run(1.7)
+        assert not world.broken and len(world.starts) > 100
+        return world.starts
+
+    assert story(settings(weight=0.0)) == story(None)
+
+
+def test_one_burst_of_load_moves_nothing_and_lasting_heat_does() -> None:
+    hot = settings(sources=(), load_slowdown=1.0, dwell=60.0, least_gain=1.0, hot=0.9, cool=0.6)
+    world = world_with(hot)
+    array(world, tasks=2, cpus=2.0)
+    node = owner(world)
+    share = node.scheduler.work[JobId(UID)].share
+    world.run(YOUNG_S + 20.0)
+    assert begun(world) == 0, "not hot for long enough"
+    if len({p.machine.id for p in node.fleet.placements.of_job(JobId(UID))}) == 1:
+        world.until(lambda: begun(world) == 1, 120)
+        world.run(200.0)
+        machines = {p.machine.id for p in node.fleet.placements.of_job(JobId(UID))}
+        assert len(machines) == 2 and begun(world) == 1, "level, and it stays so"
+    assert node.shares.may_command(share) and not world.broken
+
+
+# --- what is never moved -----------------------------------------------------------------
+
+
+@pytest.mark.parametrize(
+    ("what", "changes"),
+    [
+        ("no checkpoints", {"checkpoint_s": 0.0}),
+        ("a gang", {"gang": True, "cpus": 1.0}),
+        ("overdue", {"deadline_s": 5.0}),
+        ("the only replica", {"service": True, "rank": 0, "tasks": 1}),
+        ("nearly done", {"estimate_s": 70.0}),
+    ],
+)
+def test_what_must_not_be_moved_stays(what: str, changes: dict[str, Any]) -> None:
+    reads_gb = 10.0 if what == "nearly done" else 200.0
+    near, far = (
+        settings(sources=(Source("p", (zone,), reads_gb, 10.0, 0.5, teams=("team-0",)),))
+        for zone in "ab"
+    )
+    world = world_with(near)
+    array(world, **{"tasks": 2, **changes})
+    before = tasks_of(world)
+    world.run(YOUNG_S + 30.0 if what == "nearly done" else 5.0)
+    world.reload(far)
+    world.run(60.0)
+    assert begun(world) == 0 and not world.broken
+    assert what == "nearly done" or tasks_of(world) == before
+
+
+def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
+    world = world_with(settings("a"))
+    array(world, tasks=2, service=True, rank=0, cpus=1.0)
+    assert zones_near(world, "a")
+    world.run(YOUNG_S + 5.0)
+    world.reload(settings("b"))
+    world.run(60.0)
+    assert begun(world) == 0, "no machine there holds the image"
+    for node in nodes(world):
+        for machine in node.fleet.machines.values():
+            machine.images["img"] = 0.2
+    least = 2
+    for _ in range(600):
+        world.run(0.2)
+        least = min(least, len(tasks_of(world)))
+        if zones_near(world, "b") and len(tasks_of(world)) == 2:
+            break
+    assert zones_near(world, "b") and least == 1, "never both at once"
+    assert begun(world) == 2 and not world.broken
+
+
+@pytest.mark.parametrize("trouble", ["outage", "unsettled", "former version", "waiting work"])
+def test_no_moves_in_an_outage_an_unsettled_share_an_upgrade_or_a_shortage(trouble: str) -> None:
+    world = world_with(settings("a"))
+    array(world, tasks=1)
+    world.run(YOUNG_S + 5.0)
+    node = owner(world)
+    share = node.scheduler.work[JobId(UID)].share
+    if trouble == "outage":
+        world.state.outage(True)
+        world.run(1.0)
+    elif trouble == "unsettled":
+        node.shares.owned[share].settled = False
+        held = next(m for m in node.fleet.of_share(share))
+        held.settled = False
+        world.deaf |= {held.id}
+    elif trouble == "former version":
+        for each in nodes(world):
+            each.store.values.pop("rc/format", None)
+    else:
+        node.scheduler.unmet[share] = [None]  # type: ignore[list-item]
+    migrations = node.scheduler.migrations
+    policy: Any = node.policy
+    policy.replace(settings("b"), node.context.now)
+    for _ in range(20):
+        migrations.tick()
+        node.context.now = Instant(node.context.now + 0.1)
+    assert migrations.counts["begun"] == 0
+
+
+def test_a_dry_run_logs_moves_and_carries_out_none() -> None:
+    world = world_with(settings("a", dry_run=True))
+    array(world, tasks=1)
+    world.run(YOUNG_S + 5.0)
+    before = tasks_of(world)
+    world.reload(settings("b", dry_run=True))
+    world.run(60.0)
+    counts = moves(world).counts
+    assert counts["dry run"] == 1, "and the cooldown holds for it as well"
+    assert counts["begun"] == 0 and tasks_of(world) == before and nothing_reserved(world)
+
+
+# --- failures on the way -----------------------------------------------------------------
+
+
+def moving(members: tuple[str, ...] = MEMBERS, **changes: Any) -> World:
+    """A world in which a move has just begun: the stop is on its way, room is reserved."""
+    world = world_with(settings("a"), members)
+    array(world, tasks=1, **changes)
+    world.run(YOUNG_S + 5.0)
+    world.reload(settings("b"))
+    until_move(world)
+    return world
+
+
+def runs_again(world: World) -> None:
+    world.until(lambda: len(tasks_of(world)) == 1, 90)
+    world.run(25.0)
+    assert len(tasks_of(world)) == 1 and nothing_reserved(world)
+    assert not world.broken
+
+
+@BOTH
+@pytest.mark.parametrize("after", [0.0, 0.5], ids=["before the stop", "after the stop"])
+@pytest.mark.parametrize("how", ["ends", "is cut off", "is refused"])
+def test_the_owner_is_lost_between_stop_and_start(
+    members: tuple[str, ...], after: float, how: str
+) -> None:
+    world = moving(members)
+    node = owner(world)
+    member = node.context.me
+    world.run(after)
+    if how == "ends":
+        world.crash(member)
+        world.after(8.0, lambda: world.start(member))
+    elif how == "is cut off":
+        pairs = {frozenset((member, o)) for o in (*members, *world.workers, "state") if o != member}
+        world.cut |= pairs
+        world.after(25.0, lambda: world.cut.difference_update(pairs))
+    else:
+        world.state.refusing.add(member)
+        world.after(15.0, lambda: world.state.refusing.discard(member))
+    world.run(40.0)
+    runs_again(world)
+
+
+@pytest.mark.parametrize("which", ["source", "target"])
+@pytest.mark.parametrize("how", ["dies", "hangs", "is deaf", "has notice"])
+def test_a_machine_is_lost_on_the_way(which: str, how: str) -> None:
+    world = moving()
+    move = under_way(world)
+    assert move is not None
+    machine = move.placement.machine if which == "source" else move.target
+    worker = world.workers[str(machine.id)]
+    if how == "dies":
+        worker.alive = False
+    elif how == "hangs":
+        worker.hung = True
+        world.after(4.0, lambda: setattr(worker, "hung", False))
+    elif how == "is deaf":
+        world.deaf.add(worker.id)
+        world.after(20.0, lambda: world.deaf.discard(worker.id))
+    else:
+        worker.notice_s = 20.0
+        world.after(10.0, lambda: setattr(worker, "alive", False))
+    runs_again(world)
+
+
+def test_the_target_is_promised_to_nobody_else_and_what_is_reserved_stays_so() -> None:
+    world = moving()
+    move = under_way(world)
+    assert move is not None
+    target, node = move.target, owner(world)
+    assert target.busy, "an empty target would be returned or transferred"
+    other = next(s for s in node.shares.all() if s != target.share.number)
+    node.rental.transfers.handle(_transfer(target, other))
+    assert not target.moving
+    size = move.placement.size
+    free = target.room
+    assert target.type is not None
+    assert free.cpus == target.type.size.cpus - target.used.cpus - size.cpus
+    world.submit(spec("j-000009", tasks=20, cpus=4.0, estimate_s=1.0))
+    runs_again(world)
+    assert tasks_of(world) == {0: "b"}
+
+
+def _transfer(machine: Machine, share: Any) -> Any:
+    from runcourse.wire.peer_messages import TransferMachine
+
+    return TransferMachine(machine.id, share)
+
+
+@BOTH
+@pytest.mark.parametrize("after", [0.0, 0.05, 0.5, 1.1, 2.0])
+def test_a_cancellation_at_any_step_keeps_its_time(members: tuple[str, ...], after: float) -> None:
+    world = moving(members)
+    world.run(after)
+    world.until(lambda: world.cancel(UID) == "cancelled", 10)
+    world.run(CANCEL_S + 1.0)  # the world reports any task still there by then
+    assert not tasks_of(world) and nothing_reserved(world) and not world.broken
+
+
+def test_late_copies_of_the_stop_and_of_reports_start_and_stop_nothing() -> None:
+    world = moving()
+    world.echo = 1.0
+    runs_again(world)
+    world.run(30.0)
+    assert len(tasks_of(world)) == 1 and not world.broken
+
+
+def test_the_task_may_be_done_when_the_stop_arrives() -> None:
+    world = moving()
+    move = under_way(world)
+    assert move is not None
+    worker = world.workers[str(move.placement.machine.id)]
+    for (task, _), entry in worker.tasks.items():
+        entry[0], entry[1] = "ended", "done"
+        world.finished.add(task)
+    world.until(lambda: world.poll(UID) == "done", 20)
+    assert nothing_reserved(world) and not world.broken
+
+
+def test_a_stop_that_takes_too_long_gives_the_room_back() -> None:
+    world = moving()
+    move = under_way(world)
+    assert move is not None
+    world.run(0.5)
+    (entry,) = world.workers[str(move.placement.machine.id)].tasks.values()
+    assert entry[0] == "saving"
+    entry[2] = world.now + 25.0
+    world.until(lambda: under_way(world) is None, 20)
+    assert nothing_reserved(world) and moves(world).counts["given up"] == 1
+    runs_again(world)
+
+
+def test_a_restarted_owner_does_not_move_what_was_moved_before() -> None:
+    world = moving()
+    runs_again(world)
+    made = begun(world)
+    member = owner(world).context.me
+    for n in range(10):  # ten changes of owner in about two minutes, the source moving meanwhile
+        world.crash(member)
+        world.after(0.5, lambda: world.start(member))
+        world.run(6.0)
+        world.reload(settings("ab"[n % 2]))
+        world.run(6.0)
+    assert made <= 1 and begun(world) == 0, "the counts began anew, and nothing was begun"
+    assert len(tasks_of(world)) == 1 and not world.broken
+
+
+# --- hot and quiet teams -----------------------------------------------------------------
+
+
+def test_a_quiet_team_gets_its_part_near_the_data_while_a_hot_one_floods() -> None:
+    """team-0 and team-3 share one share of three."""
+    both = Source("p", ("a",), 200.0, 10.0, 0.5, teams=("team-0", "team-3"))
+    near: dict[bool, float] = {}
+    for fair in (True, False):
+        world = world_with(settings(sources=(both,), rebalance=False))
+        policies: list[Any] = [n.policy for n in nodes(world)]
+        if not fair:
+            for policy in policies:
+                policy.local_shares.candidates = lambda work, machines: machines
+        number = 100
+        quiet_zones: list[str] = []
+        for n in range(60):
+            number += 1
+            world.submit(spec(f"j-{number:06d}", cpus=1.0, estimate_s=15.0, team="team-0"))
+            uid = f"j-{n:06d}"
+            if n % 3 == 0:
+                world.submit(spec(uid, tasks=1, cpus=1.0, estimate_s=20.0, team="team-3"))
+            world.run(3.0)
+            if n % 3 == 0:
+                quiet_zones += tasks_of(world, uid).values()
+        assert not world.broken and len(quiet_zones) >= 15, "it does not wait either way"
+        near[fair] = quiet_zones.count("a") / len(quiet_zones)
+    assert near[True] > near[False] + 0.1 and near[True] >= 0.5
+
+
+def test_operators_see_moves_sources_and_heat() -> None:
+    from runcourse.core.status import status_of
+    from runcourse.net.metrics import render as metrics
+    from runcourse.tables import render
+
+    world = moving()
+    status = status_of(owner(world))
+    locality = status["locality"]
+    assert locality["moves"]["begun"] == 1 and locality["sources"][0]["zones"] == ["b"]
+    assert locality["under_way"][0]["reason"] == "nearer its data"
+    table = render(msgspec.json.decode(msgspec.json.encode(status)))
+    assert "moves under way" in table and f"{UID}/0" in table and "nearer its data" in table
+    text = metrics(owner(world), 0, 0)[0].decode()
+    assert 'runcourse_moves_total{result="begun"} 1.0' in text
+    assert "runcourse_moves_left" in text and "runcourse_sources_damped 0.0" in text
+    world.run(1.0)
+    plain = World()
+    plain.run(2.0)
+    node = plain.nodes["n0"]
+    assert node is not None and status_of(node)["locality"] == {}
+    assert "locality" not in render(status_of(node))
+    assert "runcourse_moves" not in metrics(node, 0, 0)[0].decode()
--- /dev/null
+++ b/tests/test_locality_settings.py
@@ -0,0 +1,93 @@
+"""The locality file: what is taken, what is refused with file, field and reason, and reloading."""
+
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+from test_config import GOOD
+from world import platform
+
+from runcourse.cli import main
+from runcourse.errors import SettingsError
+from runcourse.locality.settings import load_locality
+from runcourse.policy_file import PolicyFile
+
+SOURCE = '(source (name "p") (zones "a" "b") (teams "team-0") (read-gb 4) (local-rate 1.0)'
+FINE = f"(locality (weight 2.5) (dry-run true) {SOURCE} (remote-rate 0.1)))"
+
+
+def write(folder: Path, text: str) -> Path:
+    path = folder / "locality.sexp"
+    path.write_text(text, encoding="utf-8")
+    return path
+
+
+def test_a_good_file_is_read_with_its_defaults(tmp_path: Path) -> None:
+    settings = load_locality(write(tmp_path, FINE), platform("n0"))
+    assert settings.weight == 2.5 and settings.dry_run and settings.rebalance
+    (source,) = settings.sources
+    assert source.zones == ("a", "b") and source.read_gb == 4 and source.classes == ()
+
+
+def test_the_file_that_is_shipped_is_good() -> None:
+    shipped = Path(__file__).resolve().parent.parent / "deploy" / "locality.sexp"
+    assert not load_locality(shipped, platform("n0")).sources
+
+
+@pytest.mark.parametrize(
+    ("text", "field", "reason"),
+    [
+        ("(locality", "file", "not an S-expression"),
+        ("(other (weight 1))", "file", "expected (locality"),
+        ("(locality (wait 1))", "wait", "unknown setting"),
+        ("(locality (weight 1) (weight 2))", "weight", "given twice"),
+        ("(locality (weight -1))", "weight", "Expected `float` >= 0"),
+        ("(locality (dry-run maybe))", "dry_run", "Expected `bool`"),
+        ("(locality (hot 0.5) (cool 0.6))", "cool", "less than hot"),
+        ("(locality (cooldown 900) (cooldown-most 300))", "cooldown", "must not exceed"),
+        ("(locality (source))", "locality", "expected (name value)"),
+        (f"(locality {SOURCE}))", "source[0]", "remote-rate"),
+        (f"(locality {SOURCE} (remote-rate 0)))", "source[0].remote-rate", "> 0"),
+        (f"(locality {SOURCE} (remote-rate 1) (read-gb 2)))", "source[0].read-gb", "given twice"),
+        (FINE.replace("(read-gb 4)", "(read-gb -4)"), "source[0].read-gb", ">= 0"),
+        (FINE.replace('"b"', '"z"'), "source[0].zones", "unknown zone 'z'"),
+        (FINE.replace('"b"', '"a"'), "source[0].zones", "'a' is listed twice"),
+        (FINE.replace('"team-0"', '"team-9"'), "source[0].teams", "unknown team 'team-9'"),
+        (FINE.replace('"team-0"', '"team-0" "team-0"'), "source[0].teams", "listed twice"),
+        (FINE.replace('(teams "team-0")', ""), "source[0].teams", "nobody reads it"),
+        (
+            f"(locality {SOURCE} (remote-rate 1)) {SOURCE} (remote-rate 1)))",
+            "source",
+            "given twice",
+        ),
+    ],
+)
+def test_a_faulty_file_is_named_with_field_and_reason(
+    tmp_path: Path, text: str, field: str, reason: str
+) -> None:
+    path = write(tmp_path, text)
+    with pytest.raises(SettingsError) as caught:
+        load_locality(path, platform("n0"))
+    message = str(caught.value)
+    assert message.startswith(f"{path}: ") and reason in message
+    assert field.replace("-", "_") in message.replace("-", "_")
+
+
+def test_the_command_line_checks_it_too(tmp_path: Path, capsys: Any) -> None:
+    config = tmp_path / "s.toml"
+    config.write_text(GOOD, encoding="utf-8")
+    base = ["check-config", "--config", str(config), "--locality"]
+    assert main([*base, str(write(tmp_path, "(locality (weight 1))"))]) == 0
+    assert main([*base, str(write(tmp_path, "(locality (weight x))"))]) == 2
+    assert "locality.sexp: weight:" in capsys.readouterr().err
+
+
+def test_a_faulty_new_file_leaves_the_old_one_in_force(tmp_path: Path) -> None:
+    path = write(tmp_path, FINE)
+    file = PolicyFile(path, platform("n0"))
+    policy = file.make()
+    write(tmp_path, FINE.replace("2.5", "nothing"))
+    with pytest.raises(SettingsError):
+        file.load()
+    assert policy.active and msgspec.structs.asdict(file.settings)["weight"] == 2.5
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,7 +9,7 @@
 import heapq
 import itertools
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 from production import Former
@@ -35,6 +35,8 @@
 from runcourse.core.ids import Instant
 from runcourse.core.jobs import JobSpec
 from runcourse.core.node import Node
+from runcourse.locality.policy import LocalityPolicy
+from runcourse.locality.settings import LocalitySettings
 from runcourse.wire.peer_messages import PeerMessage
 
 __all__ = [
@@ -63,6 +65,9 @@
         machines: int = 4,
         members: tuple[str, ...] = MEMBERS,
         former: bool = False,
+        locality: LocalitySettings | None = None,
+        operators: Operators | None = None,
+        machine_zones: Sequence[str] = ZONES,
         **settings: Any,
     ) -> None:
         self.rng = random.Random(seed)
@@ -72,6 +77,8 @@
         self.members = members
         self.former = set(members) if former else set()  # start as the version in production
         self.settings = settings
+        self.locality = locality
+        self.operators = operators or Operators()
         self.state = State(self)
         self.nodes: dict[str, Node | None] = dict.fromkeys(members)
         self.generation = dict.fromkeys(members, 0)
@@ -107,7 +114,7 @@
         self._answers: dict[tuple[str, int, int], Callable[[Any], None]] = {}
         self._names = itertools.count()
         for _ in range(machines):
-            self.boot(ZONES[len(self.workers) % 3], False)
+            self.boot(machine_zones[len(self.workers) % len(machine_zones)], False)
         for member in members:
             self.start(member)
         self.after(0.1, self._watch)
@@ -141,13 +148,29 @@
     def start(self, member: str) -> None:
         self.generation[member] += 1
         settings = platform(member, members=self.members, **self.settings)
+        rng = random.Random(self.rng.random())
+        now = Instant(self.now)
         # A node of the version in production has the same parts, where tests look at them.
-        made: Any = Former if member in self.former else Node
-        self.nodes[member] = made(
-            settings, Operators(), random.Random(self.rng.random()), Instant(self.now)
+        self.nodes[member] = (
+            Former(settings, self.operators, rng, now)  # type: ignore[assignment]
+            if member in self.former
+            else Node(settings, self.operators, rng, now, self._policy(settings))
         )
         self._tick(member, self.generation[member])
 
+    def _policy(self, settings: Any) -> LocalityPolicy | None:
+        if self.locality is None:
+            return None
+        guarantees = {team.name: team.cpus for team in settings.settings.teams}
+        return LocalityPolicy(self.locality, guarantees)
+
+    def reload(self, locality: LocalitySettings) -> None:
+        """Operators put other locality settings in force at every node."""
+        self.locality = locality
+        for member, node in self.nodes.items():
+            if node is not None:
+                self.feed(member, t.ReplacePolicySettings(locality))
+
     def crash(self, member: str) -> None:
         self.nodes[member] = None
         self.generation[member] += 1
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from typing import TYPE_CHECKING, Any
 
 from world_settings import GANG_WAIT_S, LEASE_S, REPORT_S, TYPE
@@ -89,10 +90,19 @@
                 continue  # the rest is seen to for the whole of it
             if entry[0] == "running" and (self.sick or task.job in self.world.mistaken):
                 entry[0], entry[1] = "ended", "error"
-            elif entry[0] == "running" and not job.service and now - entry[2] > job.estimate_s:
+            elif entry[0] == "saving" and now - entry[2] >= job.save_s:
+                entry[0], entry[1] = "ended", "stopped"
+            elif entry[0] == "running" and now - entry[2] > self._left_s(task):
                 entry[0], entry[1] = "ended", "done"
                 self.world.finished.add(task)
 
+    def _left_s(self, task: Any) -> float:
+        """How long a task that starts now runs; for ever if it is a replica."""
+        job = self.world.specs[task.job]
+        if job.service:
+            return math.inf
+        return job.estimate_s - self.world.progress.get(task, 0.0)
+
     def beat(self) -> None:
         if not self.alive:
             return
@@ -150,11 +160,23 @@
                 else:
                     self.tasks[key] = ["fetching", "", self.world.now]
             elif order.op == "stop" and key in self.tasks and self.tasks[key][0] != "ended":
-                if not self.world.saves(order, self.tasks[key]):
+                entry = self.tasks[key]
+                if not self.world.saves(order, entry) and not self._saves(order, entry):
                     self.tasks[key] = ["ended", "stopped", self.world.now]
             elif order.op == "forget":
                 self.tasks.pop(key, None)
 
+    def _saves(self, order: t.Order, entry: list[Any]) -> bool:
+        """A task of an array that is told to stop with time to save goes on doing that."""
+        job = self.world.specs[order.task.job]
+        if job.gang or not job.checkpoint_s or order.grace_s < job.save_s or not job.save_s:
+            return False
+        if entry[0] == "running":
+            ran = self.world.now - entry[2]
+            self.world.progress[order.task] = self.world.progress.get(order.task, 0.0) + ran
+            entry[0], entry[2] = "saving", self.world.now
+        return entry[0] == "saving"
+
     def command(self, effect: t.Command) -> tuple[int, Any]:
         self.step()
         if effect.token < self.token or effect.session != self.session:
