--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,11 +1,16 @@
 """Random interleavings of failures: the rules hold, and nothing accepted is lost."""
 
+from typing import Any
+from unittest.mock import patch
+
 from combined_failures import send
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 from world import CANCEL_S, FIVE, MEMBERS, World, spec
 
+from runcourse.config import Operators
 from runcourse.core import types as t
+from runcourse.locality.settings import LocalitySettings, Source
 
 ACTIONS = (
     "submit",
@@ -47,8 +52,28 @@
     "gang",
     "big_gang",
     "stop_gang",
+    "long",
+    "source_moves",
 )
 
+# Where team-0 and team-1 read; in stories with the locality policy it changes its place.
+PLACES = ("a", "b", "c")
+
+
+def locality(place: int) -> LocalitySettings:
+    """Moves as often as they can be: no cooldown to speak of, no damping."""
+    source = Source("p", (PLACES[place % 3],), 100.0, 10.0, 0.5, teams=("team-0", "team-1"))
+    return LocalitySettings(
+        sources=(source,),
+        moves_per_hour=7200.0,
+        interval=0.5,
+        dwell=1.0,
+        cooldown=1.0,
+        cooldown_most=1.0,
+        least_gain=1.0,
+        flap_changes=1000,
+    )
+
 
 def close_look(world: World, k: int) -> None:
     for uid in sorted(world.told)[k % 3 :: 3]:
@@ -109,6 +134,14 @@
             ),
             member,
         )
+    elif action == "long":  # what may be moved
+        changes: dict[str, Any] = {"checkpoint_s": 1.0, "save_s": 0.6, "estimate_s": 40.0}
+        if pick % 3 == 0:
+            changes = {"service": True, "rank": 0, "cpus": 1.0}
+        world.submit(spec(uid, tasks=2, team=f"team-{pick % 2}", **changes), member)
+    elif action == "source_moves":
+        if world.locality is not None:
+            world.reload(locality(pick))
     elif action == "stop_gang":  # as for a replica, or a machine that is emptied
         for node in world.nodes.values():
             for work in list(node.scheduler.work.values()) if node is not None else ():
@@ -252,10 +285,30 @@
 def test_rules_hold_whatever_fails(
     script: list[tuple[str, int, float]], seed: int, members: tuple[str, ...]
 ) -> None:
-    world = World(seed=seed, machines=5, members=members, cpus_max=8.0)
+    with patch("runcourse.core.migrations.YOUNG_S", 1.0):
+        play(script, seed, members)
+
+
+def play(script: list[tuple[str, int, float]], seed: int, members: tuple[str, ...]) -> None:
+    # Half of the stories run with moves of running work.
+    moving = seed % 2 == 0
+    world = World(
+        seed=seed,
+        machines=15 if moving else 5,
+        members=members,
+        cpus_max=16.0 if moving else 8.0,
+        locality=locality(seed) if moving else None,
+        operators=Operators(idle_return=1e6) if moving else None,
+    )
     world.run(2.0)
+    if moving:
+        for n in range(900, 904):
+            act(world, "long", n, n)
+        world.run(3.0)
     for number, (action, pick, pause) in enumerate(script):
         act(world, action, pick, number)
+        if moving and number % 2:
+            act(world, "source_moves", number // 2, number)
         world.run(pause)
         assert not world.broken
     world.run(12.0)
