--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -7,6 +7,7 @@
 import logging
 import random
 import signal
+import threading
 from collections.abc import Coroutine
 from typing import Any
 
@@ -92,7 +93,9 @@
         """Open the listening sockets."""
         await self._server.start(*address(self._platform.api_addr, "api_addr"))
         await self._links.start(*address(self._platform.internal_addr, "internal_addr"))
-        if self._policy_file is not None:
+        # A program that embeds this in a thread keeps its own signals.
+        in_main = threading.current_thread() is threading.main_thread()
+        if self._policy_file is not None and in_main:
             self._loop.add_signal_handler(signal.SIGHUP, self.reload)
         log.info("serving as %s", self._platform.member)
 
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -205,6 +205,16 @@
     assert what == "nearly done" or tasks_of(world) == before
 
 
+def test_what_has_just_begun_stays() -> None:
+    world = world_with(settings("a"))
+    array(world, tasks=1)
+    world.reload(settings("b"))
+    world.run(YOUNG_S - 5.0)
+    assert begun(world) == 0
+    world.run(10.0)
+    assert begun(world) == 1 and not world.broken
+
+
 def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
     world = world_with(settings("a"))
     array(world, tasks=2, service=True, rank=0, cpus=1.0)
@@ -267,6 +277,29 @@
     assert counts["begun"] == 0 and tasks_of(world) == before and nothing_reserved(world)
 
 
+def test_two_tasks_that_want_each_other_s_place_stay_while_there_is_no_room() -> None:
+    def places(first: str, second: str) -> LocalitySettings:
+        return settings(
+            sources=(
+                Source("p", (first,), 200.0, 10.0, 0.5, teams=("team-0",)),
+                Source("q", (second,), 200.0, 10.0, 0.5, teams=("team-3",)),
+            )
+        )
+
+    world = world_with(places("a", "b"), each=1)
+    array(world, tasks=1, cpus=4.0)
+    array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
+    assert zones_near(world, "a") and set(tasks_of(world, "j-000002").values()) == {"b"}
+    world.run(YOUNG_S + 5.0)
+    world.reload(places("b", "a"))
+    world.run(120.0)
+    assert begun(world) == 0 and nothing_reserved(world) and not world.broken
+    # Once the one is gone the other follows its data.
+    world.until(lambda: world.cancel("j-000002") == "cancelled", 10)
+    world.until(lambda: zones_near(world, "b") and bool(tasks_of(world)), 60)
+    assert begun(world) == 1
+
+
 # --- failures on the way -----------------------------------------------------------------
 
 
--- a/tests/test_locality_settings.py
+++ b/tests/test_locality_settings.py
@@ -1,18 +1,30 @@
 """The locality file: what is taken, what is refused with file, field and reason, and reloading."""
 
+import asyncio
+import os
+import random
+import signal
+import subprocess
+import sys
+import threading
 from pathlib import Path
 from typing import Any
 
 import msgspec
 import pytest
+from standins import Standins
 from test_config import GOOD
 from world import platform
 
 from runcourse.cli import main
+from runcourse.client import run_inspect, run_reload
+from runcourse.config import Operators, load_platform
+from runcourse.daemon import Daemon
 from runcourse.errors import SettingsError
 from runcourse.locality.settings import load_locality
 from runcourse.policy_file import PolicyFile
 
+ROOT = Path(__file__).resolve().parent.parent
 SOURCE = '(source (name "p") (zones "a" "b") (teams "team-0") (read-gb 4) (local-rate 1.0)'
 FINE = f"(locality (weight 2.5) (dry-run true) {SOURCE} (remote-rate 0.1)))"
 
@@ -91,3 +103,65 @@
     with pytest.raises(SettingsError):
         file.load()
     assert policy.active and msgspec.structs.asdict(file.settings)["weight"] == 2.5
+
+
+def test_a_running_controller_reads_the_file_again(tmp_path: Path) -> None:
+    path = write(tmp_path, FINE.replace("team-0", "crew-0"))
+
+    async def main() -> None:
+        standins = Standins()
+        config = tmp_path / "settings.toml"
+        config.write_text(await standins.start(), encoding="utf-8")
+        settings = load_platform(config)
+        file = PolicyFile(path, settings)
+        daemon = Daemon(settings, Operators(), random.Random(1), file)
+        running = asyncio.create_task(daemon.run())
+        policy: Any = daemon.node.policy
+        try:
+            async with asyncio.timeout(10):
+                while daemon.node.scheduler.migrations.status() == {}:
+                    await asyncio.sleep(0.02)
+                path.write_text("(locality (weight 0.5))", encoding="utf-8")
+                if threading.current_thread() is threading.main_thread():
+                    os.kill(os.getpid(), signal.SIGHUP)
+                else:  # signals are the main thread's
+                    daemon.reload()
+                while policy.settings.weight != 0.5:
+                    await asyncio.sleep(0.02)
+            internal = f"127.0.0.1:{standins.internal}"
+            path.write_text("(locality (weight x))", encoding="utf-8")
+            assert await asyncio.to_thread(run_reload, internal) == 1
+            assert policy.settings.weight == 0.5, "the old settings stay"
+            path.write_text("(locality (weight 3))", encoding="utf-8")
+            assert await asyncio.to_thread(run_reload, internal) == 0
+            assert policy.settings.weight == 3.0
+            assert await asyncio.to_thread(run_inspect, internal, False) == 0
+        finally:
+            running.cancel()
+            await daemon.close()
+            await standins.stop()
+
+    asyncio.run(main())
+
+
+def test_without_a_file_there_is_nothing_to_reload(tmp_path: Path) -> None:
+    async def main() -> None:
+        standins = Standins()
+        config = tmp_path / "settings.toml"
+        config.write_text(await standins.start(), encoding="utf-8")
+        daemon = Daemon(load_platform(config), Operators(), random.Random(1))
+        assert "no policy file" in daemon.reload()["error"]
+        await standins.stop()
+
+    asyncio.run(main())
+
+
+def test_nothing_of_it_is_imported_unless_a_file_is_named() -> None:
+    code = (
+        "import runcourse.daemon, sys;"
+        "print([m for m in sys.modules if 'ddsketch' in m or 'locality' in m])"
+    )
+    ended = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT
+    )
+    assert ended.stdout.strip() == "[]"
