--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -132,7 +132,9 @@
         transfer = self.costs.transfer_s(spec, source, now) - self.costs.transfer_s(
             spec, target, now
         )
-        relief = self.costs.slowdown(source, committed(source)) - self.costs.slowdown(target, there)
+        relief = self.costs.slowdown(spec, source, committed(source)) - self.costs.slowdown(
+            spec, target, there
+        )
         if transfer <= 0 and not self._levels(source, target, there):
             return None
         gain = left * (transfer + run_s * relief)
@@ -149,7 +151,7 @@
         if job.spec.service:
             return 1.0
         machine, run_s = placement.machine, self.costs.run_s(job.spec)
-        slowdown = self.costs.slowdown(machine, committed(machine))
+        slowdown = self.costs.slowdown(job.spec, machine, committed(machine))
         total_s = run_s * (1.0 + slowdown) + self.costs.transfer_s(job.spec, machine, now)
         return max(0.0, 1.0 - (now - placement.ran_since) / total_s) if total_s > 0 else 0.0
 
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -123,6 +123,16 @@
     assert tracker.slowness(slow.id) == 1.0
 
 
+def test_load_is_weighed_for_tasks_that_read_a_source_only() -> None:
+    settings = LocalitySettings(sources=(source("a"),), load_slowdown=0.5)
+    costs = Costs(settings, SourceTable(settings), LoadTracker(settings))
+    full, empty = machine("a", 4.0, "i-full"), machine("a", 0.0, "i-empty")
+    reader, other = spec("j-1", estimate_s=10.0), spec("j-2", estimate_s=10.0, team="team-1")
+    assert costs.placement_s(reader, full, at(0)) == 10.0 + 5.0
+    assert costs.placement_s(reader, empty, at(0)) == 10.0
+    assert costs.placement_s(other, full, at(0)) == costs.placement_s(other, empty, at(0)) == 0.0
+
+
 # --- bounds ------------------------------------------------------------------------------
 
 
