--- a/runcourse/client.py
+++ b/runcourse/client.py
@@ -14,7 +14,7 @@
 from .config import address
 from .errors import SettingsError
 from .net.http import Client, NotSent, Unanswered
-from .wire import messages as wire
+from .wire import codec
 from .wire.peer_messages import OperatorQuestion
 
 EXIT_REFUSED = 1
@@ -36,8 +36,8 @@
         print(f"runcourse: no answer: {problem}", file=sys.stderr)
         return EXIT_UNREACHABLE
     try:
-        print(json.dumps(wire.decode_map(answer) if answer else {}))
-    except wire.Malformed as problem:
+        print(json.dumps(codec.decode_map(answer) if answer else {}))
+    except codec.Malformed as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
         return EXIT_REFUSED
     if status not in (200, 201):
@@ -105,7 +105,7 @@
     client = Client(host, port, limit=1, connect_s=3.0)
     try:
         return await client.request(
-            method, target, wire.encode(body) if body is not None else None, 10.0
+            method, target, codec.encode(body) if body is not None else None, 10.0
         )
     finally:
         client.close()
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -22,6 +22,7 @@
 from .net.http import Reply, Server
 from .net.peers import PeerLinks
 from .policy_file import PolicyFile
+from .wire import codec
 from .wire import messages as wire
 from .wire.peer_messages import OperatorQuestion, PeerMessage
 
@@ -250,19 +251,19 @@
                 return await self._user(t.Poll(0, parts[3])) if method == "GET" else Reply(405)
             if path.startswith("/v1/jobs/") and len(parts) == 5 and parts[4] == "withdraw":
                 return await self._user(t.Cancel(0, parts[3])) if method == "POST" else Reply(405)
-            return Reply(404, wire.encode({"error": "no such path"}))
-        except wire.Malformed as problem:
+            return Reply(404, codec.encode({"error": "no such path"}))
+        except codec.Malformed as problem:
             self._malformed[path] = self._malformed.get(path, 0) + 1
             if self._malformed[path] == 1:
                 log.info("malformed request to %s: %s", path, problem)
-            return Reply(400, wire.encode({"error": str(problem)}))
+            return Reply(400, codec.encode({"error": str(problem)}))
 
     async def _submit(self, body: bytes) -> Reply:
-        fields = wire.decode_map(body)
+        fields = codec.decode_map(body)
         uid = wire.submission_uid(fields) or ""
         try:
             event = t.Submit(0, uid, wire.submission(fields))
-        except wire.Malformed as problem:
+        except codec.Malformed as problem:
             event = t.Submit(0, uid, None, str(problem))
         return await self._user(event)
 
@@ -270,14 +271,14 @@
         answer: t.UserAnswer | None = await self._ask(event, USER_S)
         # From here to the socket nothing waits: this is where it leaves.
         if answer is None or self._loop.time() >= answer.until:
-            return Reply(503, wire.encode({"error": "no answer in time"}), 1.0)
-        return Reply(answer.status, wire.encode(answer.body), answer.retry_after)
+            return Reply(503, codec.encode({"error": "no answer in time"}), 1.0)
+        return Reply(answer.status, codec.encode(answer.body), answer.retry_after)
 
     async def _beat(self, body: bytes) -> Reply:
         report = wire.report(body)
         answer: t.ReportAnswer | None = await self._ask(t.ReportReceived(0, report), BEAT_S)
         if answer is None or answer.status == 503 or self._loop.time() >= answer.until:
-            return Reply(503, wire.encode({}))
+            return Reply(503, codec.encode({}))
         if answer.status == 421:
-            return Reply(421, wire.encode(wire.redirect(answer.owner)))
-        return Reply(200, wire.encode(wire.report_answer(answer.token, answer.orders)))
+            return Reply(421, codec.encode(wire.redirect(answer.owner)))
+        return Reply(200, codec.encode(wire.report_answer(answer.token, answer.orders)))
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -10,6 +10,7 @@
 
 from ..core import types as t
 from ..core.ids import ALWAYS
+from ..wire import cloud_messages, codec, state_messages
 from ..wire import messages as wire
 from .http import Client, NotSent, TooLate, Unanswered
 
@@ -43,7 +44,7 @@
         until: float = ALWAYS,
     ) -> Result:
         """(status, what `read` makes of a good answer, whether it may have been sent)"""
-        data = wire.encode(body) if body is not None else None
+        data = codec.encode(body) if body is not None else None
         try:
             status, answer = await client.request(method, target, data, timeout_s, until)
         except TooLate:
@@ -56,7 +57,7 @@
             return status, None, True
         try:
             return status, read(answer), True
-        except wire.Malformed as problem:
+        except codec.Malformed as problem:
             place = f"{client.host}:{client.port} {method} {target.partition('?')[0]}"
             if place not in self.malformed:
                 log.warning("malformed answer from %s: %s", place, problem)
@@ -74,12 +75,14 @@
 
     async def read_all(self, root: str) -> Result:
         """Every key, and the revision from which on changes must be followed."""
-        changes: list[wire.Change] = []
+        changes: list[state_messages.Change] = []
         epoch: int | None = None
         since = ""
         while True:
             target = f"/keys?under={root}&most={PAGE}" + (f"&since={since}" if since else "")
-            status, page, sent = await self.call(self._client, "GET", target, None, 4.0, wire.page)
+            status, page, sent = await self.call(
+                self._client, "GET", target, None, 4.0, state_messages.page
+            )
             if status != 200:
                 return status, None, sent
             if epoch is None:
@@ -97,7 +100,7 @@
             f"/follow?under={root}&since={since}&wait_ms=0",
             None,
             READ_S,
-            wire.events,
+            state_messages.events,
         )
 
     async def commit(self, effect: t.Commit) -> Result:
@@ -106,16 +109,16 @@
             self._client,
             "POST",
             "/commit",
-            wire.transaction(effect.when, effect.then),
+            state_messages.transaction(effect.when, effect.then),
             COMMIT_S,
-            wire.committed,
+            state_messages.committed,
             until=effect.until,
         )
 
     async def grant(self, ttl_ms: int) -> Result:
         """Obtain a lease."""
         return await self.call(
-            self._renewals, "POST", "/leases", {"life_ms": ttl_ms}, RENEW_S, wire.granted
+            self._renewals, "POST", "/leases", {"life_ms": ttl_ms}, RENEW_S, state_messages.granted
         )
 
     async def extend(self, grant: int) -> Result:
@@ -151,7 +154,7 @@
 
     async def catalog(self) -> Result:
         """The machine types."""
-        return await self._paced("GET", "/catalog", None, wire.catalog)
+        return await self._paced("GET", "/catalog", None, cloud_messages.catalog)
 
     async def list_machines(self) -> Result:
         """All pages of the machine list."""
@@ -159,7 +162,7 @@
         since: str | None = None
         while True:
             status, body, sent = await self._paced(
-                "GET", wire.list_path(since, 500), None, wire.cloud_list
+                "GET", cloud_messages.list_path(since, 500), None, cloud_messages.cloud_list
             )
             if status != 200:
                 return status, None, sent
@@ -172,13 +175,16 @@
     async def rent(self, e: t.Rent) -> Result:
         """Rent machines."""
         return await self._paced(
-            "POST", "/machines", wire.hire(e.name, e.type, e.zone, e.spot, e.number), wire.hired
+            "POST",
+            "/machines",
+            cloud_messages.hire(e.name, e.type, e.zone, e.spot, e.number),
+            cloud_messages.hired,
         )
 
     async def release(self, machines: list[Any]) -> Result:
         """Return machines."""
         return await self._paced(
-            "POST", "/machines/release", wire.release(machines), lambda body: None
+            "POST", "/machines/release", cloud_messages.release(machines), lambda body: None
         )
 
 
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from ..wire.messages import CONTENT_TYPE, MAX_BODY
+from ..wire.codec import CONTENT_TYPE, MAX_BODY
 
 log = logging.getLogger("runcourse.http")
 
--- a/runcourse/wire/messages.py
+++ b/runcourse/wire/messages.py
@@ -1,76 +1,22 @@
-"""PROTOCOL's messages. The only place that knows its spellings.
+"""PROTOCOL's messages of users and workers. The only place that knows their spellings.
 
-Incoming bodies are MessagePack, checked by msgspec; what leaves here speaks the field's
-terms. A message that does not fit its description raises `Malformed`.
+Incoming bodies are MessagePack, checked by msgspec; what leaves here speaks the field's terms. A
+message that does not fit its description raises `Malformed`.
 """
 
 from __future__ import annotations
 
-import math
-from collections.abc import Iterable, Sequence
+from collections.abc import Sequence
 from functools import lru_cache
-from typing import Annotated, Any, Literal, TypeVar
+from typing import Annotated, Any, Literal
 
 import msgspec
 from msgspec import Meta, Struct
 
-from ..core.ids import Attempt, JobId, MachineId, Session, TaskId, Token, parse_task
+from ..core.ids import Attempt, JobId, MachineId, Session, Token, parse_task
 from ..core.jobs import MAX_TASKS, RANKS, UID, JobSpec
-from ..core.types import (
-    CloudMachine,
-    Condition,
-    MachineType,
-    Order,
-    Report,
-    TaskReport,
-    Write,
-)
-
-MAX_BODY = 64 * 1024
-CONTENT_TYPE = "application/msgpack"
-
-
-class Malformed(Exception):
-    """A body that is not what the protocol says it is."""
-
-
-Text = Annotated[str, Meta(min_length=1, max_length=200)]
-Amount = Annotated[float, Meta(ge=0, le=1e9)]
-Natural = Annotated[int, Meta(ge=0)]
-
-_decoder = msgspec.msgpack.Decoder()
-_encoder = msgspec.msgpack.Encoder()
-T = TypeVar("T")
-
-
-def encode(body: Any) -> bytes:
-    """A body as MessagePack."""
-    return _encoder.encode(body)
-
-
-def decode_map(body: bytes) -> dict[str, Any]:
-    """The map that a body holds; raises `Malformed`."""
-    try:
-        value = _decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Malformed(f"not MessagePack: {problem}") from problem
-    if not isinstance(value, dict):
-        raise Malformed("not a map")
-    # Null equals omitted, so that no description has to name null for each field.
-    return {k: v for k, v in value.items() if v is not None and isinstance(k, str)}
-
-
-def _convert(value: Any, kind: type[T]) -> T:
-    try:
-        return msgspec.convert(value, kind)
-    except msgspec.ValidationError as problem:
-        raise Malformed(str(problem)) from problem
-
-
-def _finite(*amounts: float) -> None:
-    if not all(math.isfinite(a) for a in amounts):
-        raise Malformed("an amount is not finite")
-
+from ..core.types import Order, Report, TaskReport
+from .codec import Amount, Malformed, Natural, Text, check_finite, convert
 
 # --- users -------------------------------------------------------------------------------
 
@@ -104,17 +50,12 @@
     return JobId(uid) if isinstance(uid, str) and UID.match(uid) else None
 
 
-def valid_uid(text: str) -> bool:
-    """Is the text a job id?"""
-    return UID.match(text) is not None
-
-
 def submission(body: dict[str, Any]) -> JobSpec:
     """The submission that a body holds; raises `Malformed`."""
-    s = _convert(body, _Submission)
+    s = convert(body, _Submission)
     if not UID.match(s.uid):
         raise Malformed("uid is not a job id")
-    _finite(
+    check_finite(
         s.vcpus,
         s.gpus,
         s.ram_gb,
@@ -310,187 +251,3 @@
 def commands(token: Token, session: Session, orders: Sequence[Order]) -> dict[str, Any]:
     """Orders straight to a worker."""
     return {"baton": token, "tenure": session, "orders": [_order(o) for o in orders]}
-
-
-# --- cloud -------------------------------------------------------------------------------
-
-
-class _Hull(Struct, frozen=True):
-    label: Text
-    vcpus: Amount
-    ram_gb: Amount
-    gpus: Amount = 0.0
-    cache_gb: Amount = 0.0
-    pull_gb_per_s: Amount = 0.0
-    hourly: Amount = 0.0
-    market_price: Amount = 0.0
-    startup_s: Amount = 0.0
-    yards: tuple[str, ...] = ()
-
-
-class _Catalog(Struct, frozen=True):
-    hulls: list[_Hull]
-
-
-class _CloudHost(Struct, frozen=True):
-    uid: Text
-    hull: Text
-    yard: Text
-    addr: str = ""
-    lendable: bool = False
-    stage: str = "running"
-    age_s: float = 0.0
-
-
-class _CloudList(Struct, frozen=True):
-    hosts: list[_CloudHost]
-    has_next: bool = False
-
-
-class _Hired(Struct, frozen=True):
-    hosts: list[Text]
-
-
-def catalog(body: bytes) -> tuple[MachineType, ...]:
-    """The cloud's machine types; raises `Malformed`."""
-    types = _convert(decode_map(body), _Catalog).hulls
-    return tuple(
-        MachineType(
-            name=h.label,
-            cpus=h.vcpus,
-            memory=h.ram_gb,
-            gpus=h.gpus,
-            cache_gb=h.cache_gb,
-            fetch_gb_per_s=h.pull_gb_per_s,
-            price=h.hourly,
-            spot_price=h.market_price,
-            boot_s=h.startup_s,
-            zones=h.yards,
-        )
-        for h in types
-    )
-
-
-def cloud_list(body: bytes) -> tuple[tuple[CloudMachine, ...], bool]:
-    """A page of the cloud's list, and whether more follow; raises `Malformed`."""
-    page = _convert(decode_map(body), _CloudList)
-    return tuple(
-        CloudMachine(
-            id=MachineId(h.uid),
-            addr=h.addr,
-            type=h.hull,
-            zone=h.yard,
-            spot=h.lendable,
-            stage=h.stage,
-            age_s=h.age_s,
-        )
-        for h in page.hosts
-    ), page.has_next
-
-
-def list_path(since: str | None, most: int) -> str:
-    """The request for a page of the cloud's list."""
-    return f"/machines?most={most}" + (f"&since={since}" if since else "")
-
-
-def hire(name: str, type_: str, zone: str, spot: bool, number: int) -> dict[str, Any]:
-    """A request to rent machines."""
-    return {"hire": name, "hull": type_, "yard": zone, "lendable": spot, "number": number}
-
-
-def hired(body: bytes) -> tuple[MachineId, ...]:
-    """The machines that were rented; raises `Malformed`."""
-    return tuple(MachineId(h) for h in _convert(decode_map(body), _Hired).hosts)
-
-
-def release(machines: Iterable[MachineId]) -> dict[str, Any]:
-    """A request to return machines."""
-    return {"hosts": list(machines)}
-
-
-# --- state service -----------------------------------------------------------------------
-
-
-class Pair(Struct, frozen=True):
-    """A key with its value and version."""
-
-    key: str
-    value: Any
-    stamp: Natural
-
-
-class Page(Struct, frozen=True):
-    """A page of keys."""
-
-    pairs: list[Pair]
-    epoch: Natural
-    has_next: bool = False
-
-
-class _Event(Struct, frozen=True):
-    stamp: Natural
-    write: str | None = None
-    drop: str | None = None
-    value: Any = None
-
-
-class _Events(Struct, frozen=True):
-    epoch: Natural
-    events: list[_Event]
-
-
-class _Epoch(Struct, frozen=True):
-    epoch: Natural
-    failed: list[str] | None = None
-
-
-class _Grant(Struct, frozen=True):
-    grant: Natural
-
-
-Change = tuple[str, Any, int]  # key, value or None for a dropped key, stamp
-
-
-def page(body: bytes) -> Page:
-    """A page of keys; raises `Malformed`."""
-    return _convert(decode_map(body), Page)
-
-
-def events(body: bytes) -> tuple[list[Change], int]:
-    """The changes that a body holds, and their last revision; raises `Malformed`."""
-    e = _convert(decode_map(body), _Events)
-    changes: list[Change] = []
-    for event in e.events:
-        if event.write is not None:
-            changes.append((event.write, event.value, event.stamp))
-        elif event.drop is not None:
-            changes.append((event.drop, None, event.stamp))
-    return changes, e.epoch
-
-
-def committed(body: bytes) -> int:
-    """The revision of a transaction; raises `Malformed`."""
-    return _convert(decode_map(body), _Epoch).epoch
-
-
-def granted(body: bytes) -> int:
-    """The id of a new lease; raises `Malformed`."""
-    return _convert(decode_map(body), _Grant).grant
-
-
-def transaction(when: Iterable[Condition], then: Iterable[Write]) -> dict[str, Any]:
-    """`then`: (key, value, grant); a value of None drops the key."""
-    ops: list[dict[str, Any]] = []
-    for key, value, grant in then:
-        if value is None:
-            ops.append({"drop": key})
-        elif grant is None:
-            ops.append({"write": key, "value": value})
-        else:
-            ops.append({"write": key, "value": value, "grant": grant})
-    return {"when": [{"key": k, "stamp": s} for k, s in when], "then": ops}
-
-
-def task_text(task: TaskId) -> str:
-    """A task's id as text."""
-    return str(task)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,7 +20,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 
 from runcourse.net.http import Client, NotSent, Reply, Server, Unanswered  # noqa: E402
-from runcourse.wire.messages import decode_map, encode  # noqa: E402
+from runcourse.wire.codec import decode_map, encode  # noqa: E402
 
 
 def free_port() -> int:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -17,7 +17,7 @@
 from runcourse.core.ids import Instant
 from runcourse.daemon import Daemon
 from runcourse.net.http import Client
-from runcourse.wire.messages import decode_map, encode
+from runcourse.wire.codec import decode_map, encode
 
 JOB: dict[str, Any] = {
     "uid": "j-000001",
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -12,7 +12,8 @@
 from runcourse.core.ids import Instant, JobId, Stamp
 from runcourse.core.jobs import PAGE_BITS, Job
 from runcourse.core.machines import MOST_LISTED
-from runcourse.wire.messages import commands, encode
+from runcourse.wire.codec import encode
+from runcourse.wire.messages import commands
 
 
 def test_a_late_page_takes_back_nothing_that_was_stored_since() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 
 from runcourse.core.types import CloudMachine
 from runcourse.net.clients import Cloud
-from runcourse.wire import messages as wire
+from runcourse.wire import codec
 
 
 def records(world: World) -> dict[int, int]:
@@ -88,7 +88,7 @@
                 return 503, None, True
             page = [id for id in ids if id > since][:500]
             hosts = [{"uid": id, "hull": "m4", "yard": "a"} for id in page]
-            return 200, read(wire.encode({"hosts": hosts, "has_next": page[-1] != ids[-1]})), True
+            return 200, read(codec.encode({"hosts": hosts, "has_next": page[-1] != ids[-1]})), True
 
     cloud = Paged("127.0.0.1", 1, 10.0)
     status, machines, _ = asyncio.run(cloud.list_machines())
--- a/tests/test_locality_settings.py
+++ b/tests/test_locality_settings.py
@@ -119,7 +119,7 @@
         policy: Any = daemon.node.policy
         try:
             async with asyncio.timeout(10):
-                while daemon.node.scheduler.migrations.status() == {}:
+                while not daemon.node.fleet.types:  # it serves, and hears signals
                     await asyncio.sleep(0.02)
                 path.write_text("(locality (weight 0.5))", encoding="utf-8")
                 if threading.current_thread() is threading.main_thread():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,6 +5,7 @@
 from runcourse.core import types as t
 from runcourse.core.ids import ABSENT, Attempt, JobId, Session, TaskId, Token
 from runcourse.core.types import Condition, Write
+from runcourse.wire import codec, state_messages
 from runcourse.wire import messages as wire
 
 JOB = {
@@ -47,18 +48,18 @@
 
 
 def test_a_submission_and_back() -> None:
-    spec = wire.submission(wire.decode_map(wire.encode(JOB)))
+    spec = wire.submission(codec.decode_map(codec.encode(JOB)))
     assert (spec.tasks, spec.rank, spec.types, spec.deadline_s) == (16, 1, ("g8",), 900.0)
     assert wire.job_body(spec) == JOB
 
 
 def test_null_equals_omitted_and_unknown_is_ignored() -> None:
     body = {k: v for k, v in JOB.items() if k != "yard"} | {"colour": "red"}
-    assert wire.submission(body) == wire.submission(wire.decode_map(wire.encode(JOB)))
+    assert wire.submission(body) == wire.submission(codec.decode_map(codec.encode(JOB)))
 
 
 def test_a_report() -> None:
-    report = wire.report(wire.encode(BEAT))
+    report = wire.report(codec.encode(BEAT))
     assert (report.session, report.seq, report.token, report.notice_s) == (1, 88, 41, None)
     assert report.tasks[0] == t.TaskReport(TaskId(JobId("j-000412"), 3), Attempt(2), "running")
     assert (report.tasks[1].stage, report.tasks[1].cause) == ("ended", "done")
@@ -67,34 +68,34 @@
 def test_a_list_of_tasks_that_was_read_before_is_not_read_again() -> None:
     """To the byte the same, it means the same; anything else is read, and long ones each time."""
     legs = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(4)]
-    first = wire.report(wire.encode({**BEAT, "legs": legs}))
-    later = wire.report(wire.encode({**BEAT, "tick": 90, "legs": legs}))
+    first = wire.report(codec.encode({**BEAT, "legs": legs}))
+    later = wire.report(codec.encode({**BEAT, "tick": 90, "legs": legs}))
     assert later.tasks is first.tasks and later.seq == 90
     changed = [{**legs[0], "stage": "flushing"}, *legs[1:]]
-    other = wire.report(wire.encode({**BEAT, "legs": changed}))
+    other = wire.report(codec.encode({**BEAT, "legs": changed}))
     assert [e.stage for e in other.tasks] == ["saving", *["running"] * 3]
     many = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(400)]
-    long = [wire.report(wire.encode({**BEAT, "legs": many})) for _ in range(2)]
+    long = [wire.report(codec.encode({**BEAT, "legs": many})) for _ in range(2)]
     assert long[0].tasks == long[1].tasks and long[0].tasks is not long[1].tasks
     assert len(long[0].tasks) == 400
 
 
 @pytest.mark.parametrize("legs", [[{"leg": "j-1", "try": 1}], [{"leg": "j-1/x", "try": 1}], 3])
 def test_a_malformed_report(legs: object) -> None:
-    with pytest.raises(wire.Malformed):
-        wire.report(wire.encode({**BEAT, "legs": legs}))
+    with pytest.raises(codec.Malformed):
+        wire.report(codec.encode({**BEAT, "legs": legs}))
 
 
 def test_nulls_in_a_report_equal_omissions() -> None:
     bare = {k: BEAT[k] for k in ("host", "tenure", "tick")}
     nulls = {**dict.fromkeys(BEAT), **bare}
-    assert wire.report(wire.encode(nulls)) == wire.report(wire.encode(bare))
-    with pytest.raises(wire.Malformed):
-        wire.report(wire.encode([bare]))
+    assert wire.report(codec.encode(nulls)) == wire.report(codec.encode(bare))
+    with pytest.raises(codec.Malformed):
+        wire.report(codec.encode([bare]))
 
 
 def test_tokens_may_be_large() -> None:
-    assert wire.report(wire.encode({**BEAT, "baton": 2**63 + 5})).token == 2**63 + 5
+    assert wire.report(codec.encode({**BEAT, "baton": 2**63 + 5})).token == 2**63 + 5
 
 
 def test_orders() -> None:
@@ -116,8 +117,8 @@
 
 
 def test_state_service_messages() -> None:
-    changes, epoch = wire.events(
-        wire.encode(
+    changes, epoch = state_messages.events(
+        codec.encode(
             {
                 "epoch": 433,
                 "events": [
@@ -129,11 +130,11 @@
     )
     assert epoch == 433
     assert changes == [("c/9", {"a": 1}, 433), ("c/d", None, 432)]
-    assert wire.transaction(
+    assert state_messages.transaction(
         [Condition("a/b", ABSENT)], [Write("a/b", {"x": 1}, 7), Write("c/d", None)]
     ) == {
         "when": [{"key": "a/b", "stamp": 0}],
         "then": [{"write": "a/b", "value": {"x": 1}, "grant": 7}, {"drop": "c/d"}],
     }
-    with pytest.raises(wire.Malformed):
-        wire.committed(wire.encode({"epoch": "x"}))
+    with pytest.raises(codec.Malformed):
+        state_messages.committed(codec.encode({"epoch": "x"}))
--- a/tools/measure_locality.py
+++ b/tools/measure_locality.py
@@ -27,7 +27,7 @@
 
 from runcourse.client import ask  # noqa: E402
 from runcourse.net.http import Client, NotSent, Reply, Unanswered  # noqa: E402
-from runcourse.wire.messages import decode_map, encode  # noqa: E402
+from runcourse.wire.codec import decode_map, encode  # noqa: E402
 
 ZONES = ("a", "b")
 WORKERS = 20
