--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -30,7 +30,6 @@
 STOP_SLACK_S = 15.0  # beyond its time to save, until a stopped task must be gone
 START_SLACK_S = 5.0  # in which a task that is gone must find its target usable
 OBSERVE_EVERY_S = 1.0
-FINISHED = ("done", "error")  # reasons for which the task has no need to start elsewhere
 
 
 class Migration:
@@ -244,7 +243,7 @@
         move = self._moves.get(placement.task)
         if move is None or move.placement is not placement:
             return
-        if why in FINISHED or placement.task in self.fleet.placements.by_task:
+        if placement.task in self.fleet.placements.by_task:
             self._give_up(placement.task, move, why)
             return
         move.ready = True
@@ -289,9 +288,3 @@
         move.target.unreserve(task)
         self.counts["given up"] += 1
         self.context.log("info", f"move of {task} to {move.target.id} given up: {why}")
-
-    def lose(self, share: ShareNo) -> None:
-        """The share is not owned here any more: its moves are over."""
-        for task, move in list(self._moves.items()):
-            if move.target.share.number == share:
-                self._give_up(task, move, "its share is lost")
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -410,6 +410,17 @@
     assert len(tasks_of(world)) == 1 and not world.broken
 
 
+def test_a_target_that_may_take_nothing_new_by_then_is_left_alone() -> None:
+    world = moving()
+    move = under_way(world)
+    assert move is not None
+    world.run(0.5)
+    move.target.quarantined_until = Instant(world.now + 20.0)
+    world.until(lambda: under_way(world) is None, 20)
+    assert moves(world).counts["given up"] == 1 and not move.target.placements
+    runs_again(world)
+
+
 def test_the_task_may_be_done_when_the_stop_arrives() -> None:
     world = moving()
     move = under_way(world)
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -216,6 +216,15 @@
     half = machine("a", 2.0, "i-4")
     heat(tracker, half)
     assert planner.propose([Candidate(first, [half])], at(60.0)) is None
+    # A warm machine is no target for load alone, and a hot one not even for nearer data.
+    warm, small = machine("a", 2.8, "i-5"), running(one, "j-000003", cpus=0.2)
+    heat(tracker, warm)
+    assert planner.propose([Candidate(small, [warm])], at(60.0)) is None
+    planner, tracker = rebalancer(load_slowdown=0.0)
+    near = machine("a", 3.7, "i-6")
+    heat(tracker, near)
+    far = running(machine("b", 1.0, "i-7"), "j-000004", cpus=0.2)
+    assert planner.propose([Candidate(far, [near])], at(60.0)) is None
 
 
 def test_a_slow_machine_is_left_and_is_no_target() -> None:
--- a/tools/measure_locality.py
+++ b/tools/measure_locality.py
@@ -37,6 +37,8 @@
 READ_S = {True: 4.0, False: 60.0}  # what the reads add to a task, near its data and far away
 WORK_S = 80.0
 SAVE_S = 0.5
+NEAR = 0.8  # part of what runs that has to be near its data again
+SETTLED_S = 120.0  # after which loads should be level
 
 SOURCE = """(locality (moves-per-hour 240) (burst 2) (dwell 10) (cooldown 60) (rebalance {on})
  (weight {weight})
@@ -188,7 +190,7 @@
         self.file = folder / "locality.sexp"
         self.truth = Truth()
         self.submitted: dict[str, tuple[str, float]] = {}
-        self.snapshots: list[tuple[float, list[float]]] = []
+        self.snapshots: list[tuple[float, float, float]] = []  # at, part near, load over the mean
         self.rng = random.Random(args.seed)
 
     def write_sources(self) -> None:
@@ -199,6 +201,15 @@
         )
         self.file.write_text(text, encoding="utf-8")
 
+    def look(self, workers: list[MeasuredWorker]) -> None:
+        """Note how much runs near the data, and how far the largest load is above the mean."""
+        used = [(w.about["yard"], w.used()) for w in workers]
+        total = sum(cpus for _, cpus in used)
+        near = sum(cpus for zone, cpus in used if zone == self.truth.near)
+        busy = [cpus for _, cpus in used if cpus]
+        over = max(busy) - statistics.mean(busy) if busy else 0.0
+        self.snapshots.append((time.monotonic(), near / total if total else 0.0, over))
+
     async def submit(self, client: Client, number: int, team: str, tasks: int) -> None:
         """Submit an array, again until it is accepted."""
         body = encode(job(number, team, tasks))
@@ -231,7 +242,8 @@
                 waits[team].append(self.truth.began[task] - at)
             if task in self.truth.ended:
                 lasted[team].append(self.truth.ended[task] - at)
-        level = [at - moved_at for at, used in self.snapshots if at > moved_at and _level(used)]
+        near = [at - moved_at for at, part, _ in self.snapshots if at > moved_at and part >= NEAR]
+        largest = [over for at, _, over in self.snapshots if at > moved_at + SETTLED_S]
         return {
             "on": not self.args.off,
             "seed": self.args.seed,
@@ -239,18 +251,13 @@
             "tasks": len(self.submitted),
             "stops": self.truth.moves,
             "stops_per_hour": round(3600 * self.truth.moves / self.args.seconds, 1),
-            "level_again_s": round(min(level), 1) if level else None,
+            "near_again_s": round(min(near), 1) if near else None,
+            "largest_over_mean": round(statistics.mean(largest), 2) if largest else None,
             "wait_s": {t: _summary(v) for t, v in waits.items()},
             "submission_to_end_s": {t: _summary(v) for t, v in lasted.items()},
         }
 
 
-def _level(used: list[float]) -> bool:
-    """Is the largest load of a machine within one task of the mean?"""
-    busy = [u for u in used if u > 0]
-    return bool(busy) and max(busy) <= statistics.mean(busy) + 1.0
-
-
 def _summary(values: list[float]) -> dict[str, float]:
     if not values:
         return {}
@@ -299,8 +306,7 @@
     moved = False
     while time.monotonic() < until:
         await asyncio.sleep(2.0)
-        used = [w.used() for w in cloud.workers.values() if isinstance(w, MeasuredWorker)]
-        run.snapshots.append((time.monotonic(), used))
+        run.look([w for w in cloud.workers.values() if isinstance(w, MeasuredWorker)])
         if not moved and time.monotonic() >= moved_at:
             moved = True
             run.truth.near = "b"
--- a/tools/measure_locality_world.py
+++ b/tools/measure_locality_world.py
@@ -78,6 +78,7 @@
         cpus_max=1e6,
         locality=settings("a", on),
         operators=Operators(idle_return=1e6),
+        machine_zones="aaabbb",  # dealt to three shares: each has either zone
     )
     world.run(10.0)
     # Readers that fit into one zone of their share; others for two fifths of all CPUs.
