--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -21,7 +21,7 @@
     send,
     submit,
 )
-from test_partial_failures import again, capture
+from failing_parts import again, capture
 from world import CANCEL_S, LEASE_S, spec
 
 from runcourse.core import types as t
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 import pytest
+from failing_parts import BOTH, owner_of
 from test_failures import ready
-from test_partial_failures import BOTH, owner_of
 from world import LEASE_S, World, spec
 
 from runcourse.core import types as t
