--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -15,7 +15,8 @@
 from .context import CLOCK_DRIFT, Context
 from .ids import ABSENT, ALWAYS, LONG_AGO, Incarnation, Instant, JobId, Member, Stamp, later
 from .jobs import Jobs
-from .store import LIVE, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import LIVE, LiveValue
 from .types import Condition, ExtendLease, GrantLease, Outcome, SendToPeer, Write
 from .versions import VERSION, Versions
 
@@ -93,7 +94,7 @@
     def live_inc(self, member: Member) -> Incarnation | None:
         """The incarnation of the member whose lease stands, if any."""
         value = self.store.get(LIVE + member)
-        return Incarnation(str(value["inc"])) if value else None
+        return value.inc if value else None
 
     def live_members(self) -> list[Member]:
         """The members whose leases stand."""
@@ -102,7 +103,7 @@
     def attests(self, member: Member, inc: Incarnation) -> bool:
         """Did `member`, having contact, state that it saw this incarnation's lease end?"""
         value = self.store.get(LIVE + member)
-        return bool(value) and inc in value.get("gone", ())
+        return bool(value) and inc in value.gone
 
     # --- the lease -----------------------------------------------------------------------
 
@@ -136,8 +137,8 @@
 
         self.context.emit(GrantLease(done, int(self.ttl * 1000)))
 
-    def _value(self) -> dict[str, Any]:
-        return {"inc": self.inc, "gone": sorted(set(self._gone.values())), "version": VERSION}
+    def _value(self) -> LiveValue:
+        return LiveValue(self.inc, sorted(set(self._gone.values())), VERSION)
 
     def _write_live(self) -> None:
         self._busy = True
@@ -195,7 +196,7 @@
         member = Member(key[len(LIVE) :])
         self.versions.live_changed(key, value, stamp)
         if member == self.context.me:
-            if self.live and (value is None or value.get("inc") != self.inc):
+            if self.live and (value is None or value.inc != self.inc):
                 self.lose("the live key is gone or another's")
             return
         if value is not None:
--- a/runcourse/core/catalogue.py
+++ b/runcourse/core/catalogue.py
@@ -9,7 +9,8 @@
 from .leadership import Leadership
 from .machines import Fleet
 from .sizes import json_size
-from .store import CATALOG, TYPES, Store
+from .store import Store
+from .stored_values import CATALOG, TYPES
 from .types import MachineType, Outcome, ReadCatalog, Write
 from .versions import Versions
 
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from .context import Context
 from .ids import Instant, JobId, Stamp
-from .jobs import PAGE_BITS, PART_BITS, Job, final_value
+from .jobs import DONE, JOB, PAGE_BITS, PART, PART_BITS, Job, PageValue, final_value
 from .shares import Shares
 from .sizes import json_size
-from .store import DONE, FORMAT, JOB, PART, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import FORMAT
 from .types import Condition, Write
 from .work import Work
 
@@ -115,7 +114,7 @@
                 stored |= part
         return stored
 
-    def _in_parts(self, page: dict[str, Any]) -> bool:
+    def _in_parts(self, page: PageValue) -> bool:
         """The former version reads no parts, and would start anew what they say is done: while it
         may be there, pages are as large as the state service takes."""
         size = json_size(page)
--- a/runcourse/core/hiring.py
+++ b/runcourse/core/hiring.py
@@ -13,7 +13,8 @@
 from .leadership import Leadership
 from .machines import Fleet
 from .placement import fits_times
-from .store import LEADER, Store
+from .store import Store
+from .stored_values import LEADER
 from .types import MachineType, Outcome, Rent
 
 MAX_HIRE = 50  # machines in one request, by the protocol
--- a/runcourse/core/inventory.py
+++ b/runcourse/core/inventory.py
@@ -12,7 +12,8 @@
 from .machine import Record
 from .machines import Fleet
 from .shares import Shares
-from .store import MACHINE, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import MACHINE, GoneMachine
 from .types import (
     CloudMachine,
     Condition,
@@ -180,7 +181,7 @@
         when = [Condition(MACHINE + id, self.fleet.records[id].stamp) for id in ids]
         self.store.commit(
             [self.guard(), *when],
-            [Write(MACHINE + id, {"gone": True}) for id in ids],
+            [Write(MACHINE + id, GoneMachine()) for id in ids],
             done,
             Store.OWNER,
         )
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -5,7 +5,6 @@
 import hashlib
 import re
 from collections.abc import Collection
-from typing import Any
 
 import msgspec
 
@@ -13,6 +12,9 @@
 from .placement import Size
 from .sizes import json_size
 
+JOB = "rc/job/"
+DONE = "rc/done/"  # pages of finished tasks
+PART = "rc/part/"  # as DONE, in smaller pieces
 PAGE_BITS = 16384  # finished tasks per stored page: 4 KiB of hexadecimal digits
 PART_BITS = 4096  # and per part, where a page is more than the state service takes
 STAGE_ROOM = 80  # bytes by which a job's value may grow after its acceptance
@@ -52,6 +54,19 @@
         return Size(self.cpus, self.memory, self.gpus)
 
 
+class JobValue(msgspec.Struct, frozen=True):
+    """A job as it is stored."""
+
+    spec: JobSpec
+    stage: str  # accepted, cancelled or done
+
+
+class PageValue(msgspec.Struct, frozen=True):
+    """A page or part of a job's finished tasks as it is stored: bits in hexadecimal digits."""
+
+    bits: str
+
+
 class Job:
     """One accepted job: what the state service says of it."""
 
@@ -89,11 +104,11 @@
         """Is the task stored as finished?"""
         return bool(self.done_bits >> index & 1)
 
-    def page(self, number: int, extra: int, length: int = PAGE_BITS) -> dict[str, Any]:
+    def page(self, number: int, extra: int, length: int = PAGE_BITS) -> PageValue:
         """The stored form of one page of finished tasks, `extra` included."""
         mask = (1 << length) - 1
         bits = ((self.done_bits | extra) >> (number * length)) & mask
-        return {"bits": f"{bits:x}"}
+        return PageValue(f"{bits:x}")
 
     def add_done(self, bits: int) -> None:
         """Count finished tasks, given as bits."""
@@ -122,22 +137,22 @@
         """Jobs that are neither done nor cancelled."""
         return self._open.values()
 
-    def apply_job(self, uid: JobId, value: dict[str, Any], stamp: Stamp, now: float) -> Job:
+    def apply_job(self, uid: JobId, value: JobValue, stamp: Stamp, now: float) -> Job:
         """Take what the state service holds of a job."""
         job = self._jobs.get(uid)
         if job is None:
-            job = Job(msgspec.convert(value["spec"], JobSpec), stamp)
+            job = Job(value.spec, stamp)
             job.submitted = now
             job.add_done(self._early_pages.pop(uid, 0))
             self._jobs[uid] = job
-        if value["stage"] == "cancelled":
+        if value.stage == "cancelled":
             self._cancelled.append((stamp, uid))
             self._told.pop(uid, None)
             job.cancelled = stamp
         # A job that is done or cancelled stays so, whatever order news arrives in.
         if not job.final:
             # What a peer read before this node read the job at all is not forgotten.
-            job.stage = "cancelled" if uid in self._told else str(value["stage"])
+            job.stage = "cancelled" if uid in self._told else value.stage
             if job.final:
                 self._open.pop(uid, None)
             else:
@@ -161,11 +176,9 @@
         del self._open[uid]
         return job
 
-    def apply_page(
-        self, uid: JobId, page: int, value: dict[str, Any], length: int = PAGE_BITS
-    ) -> None:
+    def apply_page(self, uid: JobId, page: int, value: PageValue, length: int = PAGE_BITS) -> None:
         """Take a page of finished tasks, of `length` tasks each."""
-        bits = int(str(value["bits"]), 16) << (page * length)
+        bits = int(value.bits, 16) << (page * length)
         job = self._jobs.get(uid)
         if job is None:
             self._early_pages[uid] = self._early_pages.get(uid, 0) | bits
@@ -193,12 +206,12 @@
     return spec if fits(spec) else None
 
 
-def job_value(spec: JobSpec, stage: str) -> dict[str, Any]:
+def job_value(spec: JobSpec, stage: str) -> JobValue:
     """A job as it is stored."""
-    return {"spec": msgspec.to_builtins(spec), "stage": stage}
+    return JobValue(spec, stage)
 
 
-def final_value(spec: JobSpec, stage: str, most: int) -> dict[str, Any]:
+def final_value(spec: JobSpec, stage: str, most: int) -> JobValue:
     """Of a job that needs no machines any more. What the former version stored may be larger than
     the state service takes by now."""
     return job_value(storable(spec, (), most) or spec, stage)
--- a/runcourse/core/leadership.py
+++ b/runcourse/core/leadership.py
@@ -5,7 +5,8 @@
 from .authority import Authority
 from .context import Context
 from .ids import ABSENT, Stamp
-from .store import LEADER, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import LEADER, LeaderValue
 from .types import Condition, Write
 
 
@@ -24,7 +25,7 @@
         value = self.store.get(LEADER)
         return (
             bool(value)
-            and value["inc"] == self.authority.inc
+            and value.inc == self.authority.inc
             and self.authority.live
             and self.context.now < self.authority.until
         )
@@ -32,7 +33,7 @@
     def leader(self) -> str | None:
         """The member that leads, if any."""
         value = self.store.get(LEADER)
-        return str(value["member"]) if value else None
+        return str(value.member) if value else None
 
     def claim(self) -> None:
         """Try to lead if nobody does."""
@@ -54,7 +55,7 @@
             [
                 Write(
                     LEADER,
-                    {"member": self.context.me, "inc": self.authority.inc},
+                    LeaderValue(self.context.me, self.authority.inc),
                     self.authority.lease,
                 )
             ],
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -21,6 +21,7 @@
 from .jobs import Job
 from .placement import NOTHING, Size
 from .shares import Holding
+from .stored_values import MachineValue
 from .types import MachineType
 
 Key = tuple[TaskId, Attempt]
@@ -45,16 +46,10 @@
     leaving: bool
     stamp: Stamp
 
-    def value(self, **changes: Any) -> dict[str, Any]:
+    def value(self, **changes: Any) -> MachineValue:
         """The record as it is stored, with changes."""
         record = self._replace(**changes)
-        return {
-            "share": record.share,
-            "type": record.type,
-            "zone": record.zone,
-            "spot": record.spot,
-            "leaving": record.leaving,
-        }
+        return MachineValue(record.share, record.type, record.zone, record.spot, record.leaving)
 
 
 class Placement:
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -20,7 +20,8 @@
 from .placements import PlacementObserver, PlacementTable
 from .reports import REPORT_TIMEOUT_S, ReportIntake
 from .shares import Holding, Shares
-from .store import CATALOG, MACHINE, TYPES, Store
+from .store import Store
+from .stored_values import CATALOG, MACHINE, TYPES, GoneMachine
 from .types import MachineType, Report
 from .worker_commands import WorkerCommands
 
@@ -73,7 +74,7 @@
 
     def _record_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         id = MachineId(key[len(MACHINE) :])
-        if value is None or value.get("gone"):
+        if value is None or isinstance(value, GoneMachine):
             # A late copy of a report must not bring back what was returned.
             if value is None:
                 self.gone.discard(id)
@@ -84,11 +85,11 @@
             self._drop(id, "released")
             return
         record = Record(
-            ShareNo(value["share"]),
-            value["type"],
-            value["zone"],
-            bool(value["spot"]),
-            bool(value["leaving"]),
+            value.share,
+            value.type,
+            value.zone,
+            value.spot,
+            value.leaving,
             stamp,
         )
         self.records[id] = record
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -26,14 +26,15 @@
 from .confirmations import Confirmations
 from .context import Context
 from .ids import LONG_AGO, Instant, JobId, MachineId, Member, ShareNo, Stamp
-from .jobs import PART_BITS, Jobs
+from .jobs import DONE, JOB, PART, PART_BITS, Jobs
 from .machines import Fleet
 from .policy import NoPolicy, PlacementPolicy
 from .quota import Quota
 from .rental import Rental
 from .scheduler import Scheduler
 from .shares import Holding, Shares
-from .store import DONE, JOB, LEADER, PART, Store
+from .store import Store
+from .stored_values import LEADER
 from .types import (
     Cancel,
     Health,
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -25,7 +25,8 @@
     make_attempt,
 )
 from .sizes import json_size
-from .store import LIVE, MAPPING, SHARE, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import LIVE, MAPPING, SHARE, MappingValue, ShareValue
 from .types import Condition, Write
 
 HANDBACK_AFTER_S = 6.0  # a returned home node must have been up this long
@@ -94,7 +95,7 @@
         )
 
     def _mapping_changed(self, key: str, value: Any, stamp: Stamp) -> None:
-        names = value["dealt"] if value else ()
+        names = value.dealt if value else ()
         self._dealt = {
             Team(str(name)): ShareNo(n % len(self.context.members)) for n, name in enumerate(names)
         }
@@ -108,9 +109,9 @@
         if any(self.owner(share) is not None for share in self.all()):
             return [Condition(MAPPING, ABSENT)], []
         names = sorted(team.name for team in self.context.platform.settings.teams)
-        if json_size({"dealt": names}) > self.context.limits.value_bytes:
+        if json_size(MappingValue(names)) > self.context.limits.value_bytes:
             names = []  # more than a value holds: hashes for all
-        return [Condition(MAPPING, ABSENT)], [Write(MAPPING, {"dealt": names})]
+        return [Condition(MAPPING, ABSENT)], [Write(MAPPING, MappingValue(names))]
 
     # --- owners --------------------------------------------------------------------------
 
@@ -121,7 +122,7 @@
     def owner(self, share: ShareNo) -> tuple[Member, Incarnation] | None:
         """The member and incarnation that owns the share, whether it lives or not."""
         value = self.store.get(self.key(share))
-        return (Member(value["owner"]), Incarnation(value["inc"])) if value else None
+        return (value.owner, value.inc) if value else None
 
     def living_owner(self, share: ShareNo) -> Member | None:
         """The owner, if its lease stands."""
@@ -157,8 +158,8 @@
         holding = self.owned.get(share)
         ours = (
             value is not None
-            and value["owner"] == self.context.me
-            and value["inc"] == self.authority.inc
+            and value.owner == self.context.me
+            and value.inc == self.authority.inc
             and self.authority.live
         )
         if holding is not None and (not ours or stamp > holding.epoch):
@@ -195,7 +196,7 @@
             self.store.expect(LIVE + self.context.me),
             *conditions,
         ]
-        value = {"owner": self.context.me, "inc": self.authority.inc}
+        value = ShareValue(self.context.me, self.authority.inc)
         self.store.commit(
             when,
             [*fixing, Write(key, value)],
@@ -296,7 +297,7 @@
 
         self.store.commit(
             [self.guard(share), self.store.expect(LIVE + home)],
-            [Write(self.key(share), {"owner": home, "inc": inc})],
+            [Write(self.key(share), ShareValue(home, inc))],
             done,
         )
 
@@ -311,7 +312,7 @@
                 self._settle_unknown(holding)
 
         if self.owned.get(holding.number) is holding:
-            value = {"owner": self.context.me, "inc": self.authority.inc}
+            value = ShareValue(self.context.me, self.authority.inc)
             self.store.commit(
                 [self.guard(holding.number)], [Write(self.key(holding.number), value)], done
             )
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -14,24 +14,14 @@
 from enum import Enum, auto
 from typing import Any
 
+import msgspec
+
 from .context import Context
 from .ids import ABSENT, ALWAYS, LONG_AGO, Instant, Stamp, later
 from .sizes import json_size
+from .stored_values import parse
 from .types import LATE, Commit, Condition, Follow, Outcome, ReadAll, Write
 
-ROOT = "rc/"
-LIVE = ROOT + "live/"
-LEADER = ROOT + "leader"
-SHARE = ROOT + "share/"
-MAPPING = ROOT + "mapping"
-MACHINE = ROOT + "machine/"
-JOB = ROOT + "job/"
-DONE = ROOT + "done/"
-PART = ROOT + "part/"  # as DONE, in smaller pieces
-FORMAT = ROOT + "format"  # what every member has been seen to read
-TYPES = ROOT + "types/"  # the catalogue, where one value doesn't hold it
-CATALOG = ROOT + "catalog"
-
 FRESH_S = 1.5  # how old a read may be that an answer rests on, when the answer leaves
 GIVE_UP_AFTER_S = 1.0  # without contact: who waits for a change is refused
 THROTTLED_S = 0.1  # after a 429
@@ -158,6 +148,7 @@
         if stamp <= self.stamps.get(key, ABSENT):
             return
         self.stamps[key] = stamp
+        value = parse(key, value)
         if value is None:
             if key not in self.values:
                 return
@@ -282,7 +273,8 @@
         until: Instant = ALWAYS,
     ) -> None:
         """Queue a change; `until`: when whoever asked for it has given it up."""
-        self._push(_Change(when, then, result, urgency, until))
+        plain = [w._replace(value=msgspec.to_builtins(w.value)) for w in then]
+        self._push(_Change(when, plain, result, urgency, until))
 
     def _push(self, change: _Change) -> None:
         change.tries += 1
--- /dev/null
+++ b/runcourse/core/stored_values.py
@@ -0,0 +1,102 @@
+"""The values kept in the state service, one typed struct for each kind of key.
+
+This module and the keys in `store` own the stored form. A new field must have a default, so that
+what a former version wrote stays readable, and unknown fields are ignored.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+from msgspec import Struct
+
+from .ids import Incarnation, Member, ShareNo
+from .jobs import DONE, JOB, PART, JobValue, PageValue
+
+ROOT = "rc/"
+LIVE = ROOT + "live/"
+LEADER = ROOT + "leader"
+SHARE = ROOT + "share/"
+MAPPING = ROOT + "mapping"
+MACHINE = ROOT + "machine/"
+FORMAT = ROOT + "format"  # what every member has been seen to read
+TYPES = ROOT + "types/"  # the catalogue, where one value doesn't hold it
+CATALOG = ROOT + "catalog"
+
+FORMER = 1  # the version of a member whose live key names none
+
+
+class LiveValue(Struct, frozen=True):
+    """A member's present process; attached to its lease."""
+
+    inc: Incarnation
+    gone: list[Incarnation] = []  # processes whose leases it saw end
+    version: int = FORMER  # of the formats that it reads and writes
+
+
+class LeaderValue(Struct, frozen=True):
+    """Who leads; attached to its lease."""
+
+    member: Member
+    inc: Incarnation
+
+
+class ShareValue(Struct, frozen=True):
+    """Who owns a share."""
+
+    owner: Member
+    inc: Incarnation
+
+
+class MappingValue(Struct, frozen=True):
+    """The teams that were dealt to the shares, in their order."""
+
+    dealt: list[str]
+
+
+class MachineValue(Struct, frozen=True):
+    """A machine that may hold tasks."""
+
+    share: ShareNo
+    type: str
+    zone: str
+    spot: bool
+    leaving: bool
+
+
+class GoneMachine(Struct, frozen=True):
+    """A machine that was returned: its id never comes again."""
+
+    gone: bool = True
+
+
+class FormatValue(Struct, frozen=True):
+    """The version that every member has been seen to read."""
+
+    version: int
+
+
+_KINDS: tuple[tuple[str, type[Struct]], ...] = (
+    (JOB, JobValue),
+    (DONE, PageValue),
+    (PART, PageValue),
+    (MACHINE, MachineValue),
+    (LIVE, LiveValue),
+    (SHARE, ShareValue),
+    (LEADER, LeaderValue),
+    (MAPPING, MappingValue),
+    (FORMAT, FormatValue),
+)
+
+
+def parse(key: str, value: Any) -> Any:
+    """The value of a key as its struct; values of other keys stay as they are."""
+    if value is None or isinstance(value, Struct):
+        return value
+    for prefix, kind in _KINDS:
+        if key.startswith(prefix):
+            if kind is MachineValue and value.get("gone"):
+                return GoneMachine()
+            return msgspec.convert(value, kind)
+    return value
--- a/runcourse/core/transfers.py
+++ b/runcourse/core/transfers.py
@@ -22,7 +22,8 @@
 from .machines import Fleet
 from .scheduler import Scheduler
 from .shares import Shares
-from .store import MACHINE, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import MACHINE
 from .types import Condition, SendToPeer, Write
 
 VACATE_S = 15.0  # within which a machine promised to another share must be empty
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -15,11 +15,12 @@
 from .confirmations import Confirmations
 from .context import Context
 from .ids import ABSENT, JobId, ShareNo, Stamp, Team, later
-from .jobs import UID, Job, Jobs, JobSpec, final_value, job_value, storable
+from .jobs import JOB, UID, Job, Jobs, JobSpec, final_value, job_value, storable
 from .machines import Fleet
 from .quota import Quota
 from .shares import Shares
-from .store import JOB, LIVE, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import LIVE
 from .types import Cancel, Condition, Poll, SendToPeer, Submit, UserAnswer, Write
 
 GIVEN_UP_S = 3.0  # a change not sent by then has been refused to its user
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -11,10 +11,10 @@
 
 from .context import Context
 from .ids import ABSENT, Member, Stamp
-from .store import FORMAT, LIVE, CommitResult, Store
+from .store import CommitResult, Store
+from .stored_values import FORMAT, FORMER, LIVE, FormatValue
 from .types import Condition, Write
 
-FORMER = 1
 VERSION = 2
 
 
@@ -31,7 +31,7 @@
         """A member that is away keeps the version it was last seen with."""
         if value is None:
             return
-        member, version = Member(key[len(LIVE) :]), int(value.get("version", FORMER))
+        member, version = Member(key[len(LIVE) :]), value.version
         if version < VERSION and self.all_read:
             self.context.log(
                 "warning",
@@ -66,7 +66,7 @@
         when = [self.store.expect(LIVE + m) for m in self.context.members]
         self.store.commit(
             [guard, Condition(FORMAT, ABSENT), *when],
-            [Write(FORMAT, {"version": VERSION})],
+            [Write(FORMAT, FormatValue(VERSION))],
             done,
             Store.LATER,
         )
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -16,7 +16,7 @@
 from .core.ids import Instant, Member
 from .core.node import Node
 from .core.status import status_of
-from .core.store import ROOT
+from .core.stored_values import ROOT
 from .errors import SettingsError
 from .net.clients import Cloud, Result, StateService, Workers
 from .net.http import Reply, Server
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,7 +7,8 @@
 
 from runcourse.core import types as t
 from runcourse.core.ids import Instant
-from runcourse.core.store import ROOT, TRIES, CommitResult, Store
+from runcourse.core.store import TRIES, CommitResult, Store
+from runcourse.core.stored_values import ROOT
 from runcourse.core.types import Write
 
 
