--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -11,7 +11,7 @@
 from .machines import Fleet
 from .placement import Size
 from .shares import Shares
-from .work import Work, grace, permits, zone_open
+from .work import Work, grace, may_move_to, permits
 
 DRAIN_S = 45.0  # a machine that is not empty by then takes tasks again
 SETTLED_S = 35.0  # a replica that started lately is not moved
@@ -38,11 +38,8 @@
     def _may_move_to(self, placement: Placement, target: Machine) -> bool:
         """Would the zones still be as the job asks, with this task there instead?"""
         work = self.work.get(placement.task.job)
-        here = placement.machine.record.zone
-        there = target.record.zone
-        if work is None:
-            return False
-        return here == there or (zone_open(work, there) and not work.job.spec.together)
+        here, there = placement.machine.record.zone, target.record.zone
+        return work is not None and may_move_to(work, here, there)
 
     def drain(self, share: ShareNo, number: int) -> None:
         """Empty the machines of the share that hold the fewest replicas: nothing new goes
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -168,8 +168,7 @@
 
     def size(self, work: Work) -> Size:
         """Of all that is pending of it, less one task."""
-        n, size = len(work.pending) - 1, work.job.size
-        return Size(size.cpus * n, size.memory * n, size.gpus * n)
+        return work.job.size.times(len(work.pending) - 1)
 
     def most_in_zone(self, work: Work, zone: str) -> float:
         """How many of the tasks that are pending may go to a zone."""
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .ids import ABSENT, JobId, Stamp, Team
+from .ids import ABSENT, JobId, Stamp
 from .placement import Size
 from .sizes import json_size
 
@@ -215,8 +215,3 @@
     """Of a job that needs no machines any more. What the former version stored may be larger than
     the state service takes by now."""
     return job_value(storable(spec, (), most) or spec, stage)
-
-
-def owner_team(spec: JobSpec) -> Team:
-    """The team that the job belongs to."""
-    return Team(spec.team)
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -24,7 +24,7 @@
 from .store import Store
 from .turn import Turn, Unmet
 from .versions import Versions
-from .work import Work, grace, permits, zone_open
+from .work import Work, grace, may_move_to, permits, zone_open
 
 YOUNG_S = 30.0  # what runs for less is not moved
 STOP_SLACK_S = 15.0  # beyond its time to save, until a stopped task must be gone
@@ -206,16 +206,11 @@
             if m is not here
             and placement.size.fits(m.room)
             and permits(job, m)
-            and (m.record.zone == here.record.zone or self._zone_allows(work, m.record.zone))
+            and may_move_to(work, here.record.zone, m.record.zone)
             and (not job.spec.service or job.spec.image in m.images)
             and not m.holds(placement.task)
         ]
 
-    @staticmethod
-    def _zone_allows(work: Work, zone: str) -> bool:
-        """A task of a job that must be together stays in its zone."""
-        return zone_open(work, zone) and not work.job.spec.together
-
     # --- a move --------------------------------------------------------------------------
 
     def _begin(self, proposal: MoveProposal) -> None:
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -111,7 +111,7 @@
         self.store.listen(PART, self._part_changed)
         self.store.listen(LEADER, lambda key, value, stamp: None)
         self._peer_contact: dict[Member, tuple[Instant, bool]] = {}
-        self._peer_running: dict[Member, dict[str, int]] = {}
+        self._peer_running: dict[Member, dict[JobId, int]] = {}
         self._gossip_at = LONG_AGO
         self._silent: dict[Member, set[str]] = {}  # machines that an owner does not hear
         self._redirected: dict[MachineId, Instant] = {}
@@ -178,7 +178,7 @@
                     None,
                     Heartbeat(
                         self._contact(),
-                        {str(uid): n for uid, n in self.fleet.placements.running_counts().items()},
+                        self.fleet.placements.running_counts(),
                         self.fleet.silent(),
                         self.store.applied,
                     ),
@@ -381,7 +381,7 @@
         self._silent[member] = set(message.silent)
         self.confirmations.record_heartbeat(member, message.applied)
         self.users.running = {
-            JobId(uid): n for counts in self._peer_running.values() for uid, n in counts.items()
+            uid: n for counts in self._peer_running.values() for uid, n in counts.items()
         }
 
     def _relayed(self, message: RelayedResponse) -> None:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -194,7 +194,7 @@
         count: int = 1,
     ) -> list[Placement] | None:
         """What to stop on the machine so that so many tasks of the job fit; None: it can't."""
-        size = Size(*(count * amount for amount in job.size))
+        size = job.size.times(count)
         room = machine.room
         active = [p for p in machine.placements.values() if p.active]
         for placement in active:
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -84,6 +84,11 @@
     return not (spec.together and any(n for z, n in work.zones.items() if z != zone))
 
 
+def may_move_to(work: Work, here: str, there: str) -> bool:
+    """Would the zones still be as the job asks, with one of its tasks there instead of here?"""
+    return here == there or (zone_open(work, there) and not work.job.spec.together)
+
+
 def fetching(machine: Machine) -> dict[str, float]:
     """Images under way to the machine, and their size."""
     images = machine.fetches
--- a/runcourse/wire/peer_messages.py
+++ b/runcourse/wire/peer_messages.py
@@ -37,7 +37,7 @@
     """Sent to all peers every second."""
 
     contact: bool  # with the state service
-    running: dict[str, int]  # running tasks of each job of the sender's shares
+    running: dict[JobId, int]  # running tasks of each job of the sender's shares
     silent: list[str]  # machines of the sender's shares whose reports are overdue
     applied: int | None = None  # revision up to which the sender has read the store
 
--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -2,12 +2,10 @@
 
 from typing import Any
 
-import pytest
-from world import CANCEL_S, FIVE, MEMBERS, World, spec
+from world import CANCEL_S, World, spec
 
 from runcourse.core import types as t
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
 TEAMS = 4
 
 
--- a/tests/gang_stories.py
+++ b/tests/gang_stories.py
@@ -2,15 +2,13 @@
 
 from typing import Any
 
-import pytest
 from test_faulty_jobs_and_late_writes import owner_of_job
-from world import FIVE, MEMBERS, Worker, World, spec
+from world import MEMBERS, Worker, World, spec
 
 from runcourse.core.machine import Placement
 from runcourse.core.node import Node
 from runcourse.core.work import Work
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
 UID = "j-000001"
 
 
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -5,7 +5,7 @@
 
 import production
 import pytest
-from world import FIVE, MEMBERS, World, platform, spec
+from world import World, platform, spec
 
 from runcourse.config import NextLimits, Operators, StateSettings
 from runcourse.core import types as t
@@ -14,7 +14,6 @@
 from runcourse.core.node import Node
 from runcourse.core.work import Work
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
 mixed = pytest.mark.skipif(
     production.checkout() is None, reason="the history of the version in production is not here"
 )
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-import pytest
+from failing_parts import BOTH
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, FIVE, MEMBERS, World, spec
 
@@ -16,7 +16,6 @@
 from runcourse.core.node import Node
 from runcourse.wire.peer_messages import CancellationAck
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
 UID = "j-000001"
 
 
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -9,7 +9,6 @@
 
 import pytest
 from combined_failures import (
-    BOTH,
     TEAMS,
     busy,
     calm,
@@ -21,7 +20,7 @@
     send,
     submit,
 )
-from failing_parts import again, capture
+from failing_parts import BOTH, again, capture
 from world import CANCEL_S, LEASE_S, spec
 
 from runcourse.core import types as t
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -8,17 +8,8 @@
 from typing import Any
 
 import pytest
-from combined_failures import (
-    BOTH,
-    TEAMS,
-    busy,
-    calm,
-    end_of,
-    fresh,
-    leader,
-    send,
-    submit,
-)
+from combined_failures import TEAMS, busy, calm, end_of, fresh, leader, send, submit
+from failing_parts import BOTH
 from world import CANCEL_S, MEMBERS, spec
 
 from runcourse.core import types as t
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -3,15 +3,14 @@
 from collections import Counter
 
 import pytest
+from failing_parts import BOTH
 from test_failures import ready
 from test_faulty_jobs_and_late_writes import owner_of_job
-from world import FIVE, MEMBERS, World, spec
+from world import FIVE, World, spec
 
 from runcourse.core import types as t
 from runcourse.core.status import status_of
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
-
 
 def busy(members: tuple[str, ...], machines: int = 9, **settings: float) -> World:
     """Replicas of four teams run, so that every restart shows."""
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -4,8 +4,8 @@
 
 import pytest
 from combined_failures import calm, end_of, leader, send
+from failing_parts import BOTH
 from gang_stories import (
-    BOTH,
     UID,
     after,
     fresh,
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -1,16 +1,8 @@
 """Where gangs go, and how room is made for them."""
 
 from combined_failures import submit
-from gang_stories import (
-    BOTH,
-    UID,
-    fresh,
-    gang,
-    machines_of,
-    node_of_team,
-    runs,
-    work_of,
-)
+from failing_parts import BOTH
+from gang_stories import UID, fresh, gang, machines_of, node_of_team, runs, work_of
 from world import World, spec
 
 from runcourse.core.demand import LoadReport, share_load
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from combined_failures import BOTH
+from failing_parts import BOTH
 from world import CANCEL_S, MEMBERS, World, spec
 
 from runcourse.config import Operators
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -60,7 +60,7 @@
 # As the version in production spells them.
 SPELLINGS: list[tuple[Any, dict[str, Any]]] = [
     (
-        p.Heartbeat(True, {"j-000001": 2}, ["i-1"], 9),
+        p.Heartbeat(True, {JobId("j-000001"): 2}, ["i-1"], 9),
         {
             "t": "hello",
             "contact": True,
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -11,16 +11,9 @@
 import production
 import pytest
 from combined_failures import calm, leader, send, submit
+from failing_parts import BOTH
 from gang_stories import gang, runs
-from mixed_versions import (
-    BOTH,
-    LEAST,
-    LEAST_OPS,
-    back,
-    busy,
-    mixed,
-    noted,
-)
+from mixed_versions import LEAST, LEAST_OPS, back, busy, mixed, noted
 from test_cancellations import apart, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, LEASE_S, MEMBERS, World, platform, spec
