--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -13,7 +13,7 @@
 from ..ids import Instant, MachineId, ShareNo
 from ..machine import Record
 from ..machines import Fleet
-from .boots import Boots
+from .boot_times import Boots
 
 
 class IdleMachine(NamedTuple):
@@ -40,10 +40,10 @@
 class FleetView:
     """Follows records and load reports while this node leads."""
 
-    def __init__(self, context: Context, fleet: Fleet, boots: Boots) -> None:
+    def __init__(self, context: Context, fleet: Fleet, boot_times: Boots) -> None:
         self.context = context
         self.fleet = fleet
-        self.boots = boots
+        self.boot_times = boot_times
         self.expected: dict[MachineId, ExpectedMachine] = {}
         self._idle: dict[ShareNo, dict[MachineId, Instant]] = {}  # since when
         self._sightings: dict[MachineId, Sighting] = {}
@@ -114,7 +114,7 @@
         del self.expected[id]
         type_ = self.fleet.types.get(record.type)
         if type_ is not None:
-            self.boots.note(id, type_)
+            self.boot_times.note(id, type_)
 
     def expect_again(self, id: MachineId, since: Instant) -> None:
         """Wait for the machine as if it had been recorded then."""
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -14,7 +14,7 @@
 from ..stored_values import LEADER
 from ..types import MachineType, Outcome, Rent
 from .adoption import Adoption, FoundMachine
-from .boots import Boots
+from .boot_times import Boots
 from .demand import Demand, Place, serves
 from .leadership import Leadership
 from .pool import Pool
@@ -64,7 +64,7 @@
         leadership: Leadership,
         fleet: Fleet,
         adoption: Adoption,
-        boots: Boots,
+        boot_times: Boots,
         pool: Pool,
     ) -> None:
         self.context = context
@@ -72,7 +72,7 @@
         self.leadership = leadership
         self.fleet = fleet
         self.adoption = adoption
-        self.boots = boots
+        self.boot_times = boot_times
         self.pool = pool
         self.refused: dict[Place, tuple[float, Instant]] = {}  # how long, and until when
         self._hires = 0
@@ -198,7 +198,7 @@
             else:
                 self.refused.pop(place, None)
             if self.leadership.leading:
-                self.boots.hired(ids, Instant(outcome.began))
+                self.boot_times.hired(ids, Instant(outcome.began))
                 self.adoption.adopt(
                     [
                         FoundMachine(id, rent.type, rent.zone, rent.spot, share)
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -19,7 +19,7 @@
 from ..versions import LOADS_IN_PAGES, Versions
 from .adoption import Adoption
 from .balance import Balance
-from .boots import Boots
+from .boot_times import Boots
 from .catalogue import Catalogue
 from .demand import LOAD_VALID_S, Demand, LoadPages, LoadReport, Place, serves, share_load
 from .fleet_view import FleetView
@@ -61,8 +61,8 @@
         self.loads: dict[ShareNo, LoadReport] = {}
         self.leadership = Leadership(context, store, authority)
         self.catalogue = Catalogue(context, store, self.leadership, fleet, versions)
-        self.boots = Boots(context, fleet)
-        self.view = FleetView(context, fleet, self.boots)
+        self.boot_times = Boots(context, fleet)
+        self.view = FleetView(context, fleet, self.boot_times)
         fleet.watch_record = self.view.record_changed
         self.adoption = Adoption(
             context,
@@ -87,7 +87,7 @@
         self.entitlements = entitlements
         self.pool = Pool(context, fleet, self.loads, entitlements)
         self.hiring = Hiring(
-            context, store, self.leadership, fleet, self.adoption, self.boots, self.pool
+            context, store, self.leadership, fleet, self.adoption, self.boot_times, self.pool
         )
         self.transfers = MachineTransfers(context, store, shares, fleet, scheduler)
         self.balance = Balance(
@@ -132,7 +132,7 @@
         self._led_since = self.context.now
         self.spare.begin()
         self.inventory.begin()
-        self.boots.clear()
+        self.boot_times.clear()
         self.view.begin()
         self.entitlements.begin(self.context.now)
         self.context.log("info", "leading")
@@ -197,11 +197,11 @@
             if type_ is None:
                 continue
             waited = now - expected.since
-            if waited < self.boots.late_after(type_):
+            if waited < self.boot_times.late_after(type_):
                 place = (record.type, record.zone, record.spot)
                 there = found[record.share]
                 there[place] = there.get(place, 0.0) + 1.0
-            elif expected.told and waited >= self.boots.limit(type_):
+            elif expected.told and waited >= self.boot_times.limit(type_):
                 self._give_up(id, record, type_)
         return found
 
@@ -210,9 +210,9 @@
         self.context.log("info", f"machine {id} did not come up, returned")
         self.hiring.note_refusal((record.type, record.zone, record.spot), NEVER_UP_PAUSE_S)
         self.transfers.ask_owner(record.share, ReturnMachine(id))
-        again = Instant(self.context.now - self.boots.limit(type_) + RETURN_AGAIN_S)
+        again = Instant(self.context.now - self.boot_times.limit(type_) + RETURN_AGAIN_S)
         self.view.expect_again(id, again)
-        self.boots.forget(id)
+        self.boot_times.forget(id)
 
     def _count_expected(self, booting: dict[ShareNo, ExpectedMachines]) -> None:
         """What is being hired or recorded counts as on its way, or it would be hired again."""
@@ -228,7 +228,7 @@
             return
         self._tidied_at = self.context.now
         self.inventory.tidy()
-        self.boots.tidy()
+        self.boot_times.tidy()
 
     def _left_over(self, needs: list[Demand], booting: dict[Place, float]) -> list[Demand]:
         """Needs that the machines on their way will not meet, taken by their number: which
