--- a/runcourse/core/leader/boot_times.py
+++ b/runcourse/core/leader/boot_times.py
@@ -18,7 +18,7 @@
 BOOTS_SEEN = 12  # of each type, the newest
 
 
-class Boots:
+class BootTimes:
     """Boots under way that this leader asked for, and how long the newest took."""
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
@@ -44,7 +44,7 @@
         for id in [id for id in self._booting if id not in self.fleet.records]:
             del self._booting[id]
 
-    def late_after(self, type_: MachineType) -> float:
+    def overdue_after_s(self, type_: MachineType) -> float:
         """When a boot is overdue: work then waits for another machine instead. If machines that
         did come up lately took long as well, the next one would take no less."""
         seen = self.seen.get(type_.name)
@@ -53,7 +53,7 @@
 
     def limit(self, type_: MachineType) -> float:
         """When a machine that did not come up is returned: it is paid for."""
-        return self.late_after(type_) + GIVEN_UP_PART * type_.boot_s + GIVEN_UP_SLACK_S
+        return self.overdue_after_s(type_) + GIVEN_UP_PART * type_.boot_s + GIVEN_UP_SLACK_S
 
     def note(self, id: MachineId, type_: MachineType) -> None:
         """Note how long a boot took: its machine is heard."""
--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -13,7 +13,7 @@
 from ..ids import Instant, MachineId, ShareNo
 from ..machine import Record
 from ..machines import Fleet
-from .boot_times import Boots
+from .boot_times import BootTimes
 
 
 class IdleMachine(NamedTuple):
@@ -40,7 +40,7 @@
 class FleetView:
     """Follows records and load reports while this node leads."""
 
-    def __init__(self, context: Context, fleet: Fleet, boot_times: Boots) -> None:
+    def __init__(self, context: Context, fleet: Fleet, boot_times: BootTimes) -> None:
         self.context = context
         self.fleet = fleet
         self.boot_times = boot_times
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -14,7 +14,7 @@
 from ..stored_values import LEADER
 from ..types import MachineType, Outcome, Rent
 from .adoption import Adoption, FoundMachine
-from .boot_times import Boots
+from .boot_times import BootTimes
 from .demand import Demand, Place, serves
 from .leadership import Leadership
 from .pool import Pool
@@ -64,7 +64,7 @@
         leadership: Leadership,
         fleet: Fleet,
         adoption: Adoption,
-        boot_times: Boots,
+        boot_times: BootTimes,
         pool: Pool,
     ) -> None:
         self.context = context
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -19,7 +19,7 @@
 from ..versions import LOADS_IN_PAGES, Versions
 from .adoption import Adoption
 from .balance import Balance
-from .boot_times import Boots
+from .boot_times import BootTimes
 from .catalogue import Catalogue
 from .demand import LOAD_VALID_S, Demand, LoadPages, LoadReport, Place, serves, share_load
 from .fleet_view import FleetView
@@ -61,7 +61,7 @@
         self.loads: dict[ShareNo, LoadReport] = {}
         self.leadership = Leadership(context, store, authority)
         self.catalogue = Catalogue(context, store, self.leadership, fleet, versions)
-        self.boot_times = Boots(context, fleet)
+        self.boot_times = BootTimes(context, fleet)
         self.view = FleetView(context, fleet, self.boot_times)
         fleet.watch_record = self.view.record_changed
         self.adoption = Adoption(
@@ -197,7 +197,7 @@
             if type_ is None:
                 continue
             waited = now - expected.since
-            if waited < self.boot_times.late_after(type_):
+            if waited < self.boot_times.overdue_after_s(type_):
                 place = (record.type, record.zone, record.spot)
                 there = found[record.share]
                 there[place] = there.get(place, 0.0) + 1.0
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -66,14 +66,14 @@
     """Work waits for no machine that is overdue; where all are slow nothing is hired twice."""
     rental = leader(ready(machines=1)).rental
     type_ = world_type()
-    usual, returned = rental.boot_times.late_after(type_), rental.boot_times.limit(type_)
+    usual, returned = rental.boot_times.overdue_after_s(type_), rental.boot_times.limit(type_)
     assert usual < returned <= 2.5 * type_.boot_s + 5.0
     rental.boot_times.seen[type_.name] = deque([0.05, 0.9])
-    assert rental.boot_times.late_after(type_) == usual
+    assert rental.boot_times.overdue_after_s(type_) == usual
     rental.boot_times.seen[type_.name] = deque([2.6, 2.9])
-    assert rental.boot_times.late_after(type_) > 3.0 * type_.boot_s
+    assert rental.boot_times.overdue_after_s(type_) > 3.0 * type_.boot_s
     rental.boot_times.seen[type_.name] = deque([40.0])
-    assert rental.boot_times.late_after(type_) <= 4.0 * type_.boot_s + 2.0
+    assert rental.boot_times.overdue_after_s(type_) <= 4.0 * type_.boot_s + 2.0
 
 
 def world_type() -> t.MachineType:
