--- a/runcourse/core/leader/boot_times.py
+++ b/runcourse/core/leader/boot_times.py
@@ -51,7 +51,7 @@
         usual = LATE_FACTOR * max(seen) if seen else 0.0
         return min(max(LATE_LEAST, usual), LATE_MOST) * type_.boot_s + LATE_SLACK_S
 
-    def limit(self, type_: MachineType) -> float:
+    def give_up_after_s(self, type_: MachineType) -> float:
         """When a machine that did not come up is returned: it is paid for."""
         return self.overdue_after_s(type_) + GIVEN_UP_PART * type_.boot_s + GIVEN_UP_SLACK_S
 
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -201,7 +201,7 @@
                 place = (record.type, record.zone, record.spot)
                 there = found[record.share]
                 there[place] = there.get(place, 0.0) + 1.0
-            elif expected.told and waited >= self.boot_times.limit(type_):
+            elif expected.told and waited >= self.boot_times.give_up_after_s(type_):
                 self._give_up(id, record, type_)
         return found
 
@@ -210,7 +210,7 @@
         self.context.log("info", f"machine {id} did not come up, returned")
         self.hiring.note_refusal((record.type, record.zone, record.spot), NEVER_UP_PAUSE_S)
         self.transfers.ask_owner(record.share, ReturnMachine(id))
-        again = Instant(self.context.now - self.boot_times.limit(type_) + RETURN_AGAIN_S)
+        again = Instant(self.context.now - self.boot_times.give_up_after_s(type_) + RETURN_AGAIN_S)
         self.view.expect_again(id, again)
         self.boot_times.forget(id)
 
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -66,7 +66,10 @@
     """Work waits for no machine that is overdue; where all are slow nothing is hired twice."""
     rental = leader(ready(machines=1)).rental
     type_ = world_type()
-    usual, returned = rental.boot_times.overdue_after_s(type_), rental.boot_times.limit(type_)
+    usual, returned = (
+        rental.boot_times.overdue_after_s(type_),
+        rental.boot_times.give_up_after_s(type_),
+    )
     assert usual < returned <= 2.5 * type_.boot_s + 5.0
     rental.boot_times.seen[type_.name] = deque([0.05, 0.9])
     assert rental.boot_times.overdue_after_s(type_) == usual
