--- a/runcourse/core/leader/boot_times.py
+++ b/runcourse/core/leader/boot_times.py
@@ -24,7 +24,7 @@
     def __init__(self, context: Context, fleet: Fleet) -> None:
         self.context = context
         self.fleet = fleet
-        self.seen: dict[str, deque[float]] = {}  # boots lately, in times of their type's
+        self.recent_ratios: dict[str, deque[float]] = {}  # boots lately, in times of their type's
         self._booting: dict[MachineId, Instant] = {}  # hired by this leader and not heard yet
 
     def clear(self) -> None:
@@ -47,7 +47,7 @@
     def overdue_after_s(self, type_: MachineType) -> float:
         """When a boot is overdue: work then waits for another machine instead. If machines that
         did come up lately took long as well, the next one would take no less."""
-        seen = self.seen.get(type_.name)
+        seen = self.recent_ratios.get(type_.name)
         usual = LATE_FACTOR * max(seen) if seen else 0.0
         return min(max(LATE_LEAST, usual), LATE_MOST) * type_.boot_s + LATE_SLACK_S
 
@@ -61,4 +61,4 @@
         if since is not None:
             del self._booting[id]
             took = (self.context.now - since) / max(type_.boot_s, 1.0)
-            self.seen.setdefault(type_.name, deque(maxlen=BOOTS_SEEN)).append(took)
+            self.recent_ratios.setdefault(type_.name, deque(maxlen=BOOTS_SEEN)).append(took)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -71,11 +71,11 @@
         rental.boot_times.give_up_after_s(type_),
     )
     assert usual < returned <= 2.5 * type_.boot_s + 5.0
-    rental.boot_times.seen[type_.name] = deque([0.05, 0.9])
+    rental.boot_times.recent_ratios[type_.name] = deque([0.05, 0.9])
     assert rental.boot_times.overdue_after_s(type_) == usual
-    rental.boot_times.seen[type_.name] = deque([2.6, 2.9])
+    rental.boot_times.recent_ratios[type_.name] = deque([2.6, 2.9])
     assert rental.boot_times.overdue_after_s(type_) > 3.0 * type_.boot_s
-    rental.boot_times.seen[type_.name] = deque([40.0])
+    rental.boot_times.recent_ratios[type_.name] = deque([40.0])
     assert rental.boot_times.overdue_after_s(type_) <= 4.0 * type_.boot_s + 2.0
 
 
