--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -17,7 +17,7 @@
 from ..types import Condition, Write
 from .demand import LoadReport
 
-MOST_OPEN = 2  # transactions of records under way at once
+MAX_OPEN_TRANSACTIONS = 2  # transactions of records under way at once
 
 
 class FoundMachine(NamedTuple):
@@ -148,8 +148,10 @@
                 self._forget(id)
             self._queue.clear()
         size = max(1, self.context.limits.txn_ops)
-        while self._queue and self._open < MOST_OPEN:
-            urgency = Store.OWNER if len(self._queue) <= MOST_OPEN * size else Store.USER
+        while self._queue and self._open < MAX_OPEN_TRANSACTIONS:
+            urgency = (
+                Store.OWNER if len(self._queue) <= MAX_OPEN_TRANSACTIONS * size else Store.USER
+            )
             batch = [self._queue.popleft() for _ in range(min(size, len(self._queue)))]
             self._record(batch, urgency)
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -26,7 +26,7 @@
     make_attempt,
 )
 from runcourse.core.jobs import Job, Jobs, job_value
-from runcourse.core.leader.adoption import MOST_OPEN, FoundMachine
+from runcourse.core.leader.adoption import MAX_OPEN_TRANSACTIONS, FoundMachine
 from runcourse.core.leader.demand import LOAD_PAGE, LOAD_VALID_S, LoadPages
 from runcourse.core.leader.inventory import LIST_PAGE
 from runcourse.core.leader.transfers import CHANGES_OPEN_S
@@ -173,7 +173,7 @@
     assert queued[node.store.OWNER] == 1, "a few go first, as work waits for them"
     adoption.adopt(found)
     assert queued[node.store.OWNER] == 1
-    assert queued[node.store.USER] == (MOST_OPEN - 1) * node.context.limits.txn_ops
+    assert queued[node.store.USER] == (MAX_OPEN_TRANSACTIONS - 1) * node.context.limits.txn_ops
 
 
 def test_one_machine_recorded_meanwhile_does_not_keep_the_others_of_its_batch_out() -> None:
