--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -83,7 +83,7 @@
         self._queue: deque[MachineId] = deque()
         self._open = 0  # transactions
 
-    def adopting(self) -> MachineGroups:
+    def pending_groups(self) -> MachineGroups:
         """The machines that are being recorded."""
         return self._groups
 
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -216,7 +216,7 @@
 
     def _count_expected(self, booting: dict[ShareNo, ExpectedMachines]) -> None:
         """What is being hired or recorded counts as on its way, or it would be hired again."""
-        for group, number in self.adoption.adopting().counts().items():
+        for group, number in self.adoption.pending_groups().counts().items():
             there = booting[group.share]
             place = (group.type, group.zone, group.spot)
             there[place] = there.get(place, 0.0) + number
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -69,7 +69,7 @@
     assert dict(node.jobs._open_tasks) == dict(kinds)
     rental = node.rental
     adopting = MachineGroups(rental.adoption._adopting.values())
-    assert dict(rental.adoption.adopting().counts()) == dict(adopting.counts())
+    assert dict(rental.adoption.pending_groups().counts()) == dict(adopting.counts())
     view = rental.view
     if rental.leadership.leading and view._following:
         staying = {id for id, r in fleet.records.items() if not r.leaving}
