--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -78,7 +78,7 @@
         self.leading = leading
         self.guard = guard
         self.returned: set[MachineId] = set()  # not to be recorded again
-        self._adopting: dict[MachineId, Record] = {}  # being recorded, or about to be
+        self._pending_records: dict[MachineId, Record] = {}  # being recorded, or about to be
         self._groups = MachineGroups()  # of those
         self._queue: deque[MachineId] = deque()
         self._open = 0  # transactions
@@ -112,14 +112,14 @@
                 share = parts.poorest(machine.type, wanted)
                 parts.add(share, machine.type, self.fleet.types[machine.type].cpus)
             record = Record(share, machine.type, machine.zone, machine.spot, False, ABSENT)
-            self._adopting[machine.id] = record
+            self._pending_records[machine.id] = record
             self._groups.add(record)
             self._queue.append(machine.id)
         self._send()
 
     def _is_new(self, machine: FoundMachine) -> bool:
         return (
-            machine.id not in self._adopting
+            machine.id not in self._pending_records
             and machine.id not in self.fleet.records
             and machine.id not in self.returned
             and machine.id not in self.fleet.gone
@@ -172,7 +172,7 @@
 
         self.store.commit(
             [self.guard(), *(Condition(MACHINE + id, ABSENT) for id in ids)],
-            [Write(MACHINE + id, self._adopting[id].value()) for id in ids],
+            [Write(MACHINE + id, self._pending_records[id].value()) for id in ids],
             done,
             urgency,
         )
@@ -187,4 +187,4 @@
 
     def _forget(self, id: MachineId) -> None:
         """It is recorded by now, or will be found again."""
-        self._groups.remove(self._adopting.pop(id))
+        self._groups.remove(self._pending_records.pop(id))
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -68,7 +68,7 @@
     kinds = Counter((job.spec.team, job.spec.cpus) for job in node.jobs.open_jobs())
     assert dict(node.jobs._open_tasks) == dict(kinds)
     rental = node.rental
-    adopting = MachineGroups(rental.adoption._adopting.values())
+    adopting = MachineGroups(rental.adoption._pending_records.values())
     assert dict(rental.adoption.pending_groups().counts()) == dict(adopting.counts())
     view = rental.view
     if rental.leadership.leading and view._following:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -191,7 +191,7 @@
     node.store._flush()
     alone = [e.then[0].key for e in node.context.effects if isinstance(e, t.Commit)]
     assert sorted(alone) == [MACHINE + machine.id for machine in found[1:]]
-    assert found[0].id not in node.rental.adoption._adopting
+    assert found[0].id not in node.rental.adoption._pending_records
 
 
 def test_returning_a_fleet_leaves_room_for_users_and_machines_for_work() -> None:
@@ -332,7 +332,7 @@
     world.run(3.0)
     assert len(records) > 100 and not world.broken
     node = leader(world)
-    assert not node.rental.adoption._adopting and not node.rental.adoption._queue
+    assert not node.rental.adoption._pending_records and not node.rental.adoption._queue
     held = [m.id for n in world.nodes.values() if n for m in n.fleet.machines.values()]
     assert len(held) == len(set(held)) == 300, "each in one share"
 
