--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -46,14 +46,14 @@
         self.boot_times = boot_times
         self.expected: dict[MachineId, ExpectedMachine] = {}
         self._idle: dict[ShareNo, dict[MachineId, Instant]] = {}  # since when
-        self._sightings: dict[MachineId, Sighting] = {}
+        self._last_loads: dict[MachineId, Sighting] = {}
         self._following = False
 
     def begin(self) -> None:
         """Leadership begins: what an earlier one saw is old."""
         self.expected.clear()
         self._idle.clear()
-        self._sightings.clear()
+        self._last_loads.clear()
         self._following = True
         for id, record in self.fleet.records.items():
             if not record.leaving:
@@ -71,7 +71,7 @@
             return
         if before is not None:
             self._idle.get(before.share, {}).pop(id, None)
-        self._sightings.pop(id, None)
+        self._last_loads.pop(id, None)
         self.expected.pop(id, None)
         if record is not None and not record.leaving:
             # A machine that changed shares is new to its owner, not late in coming up.
@@ -91,7 +91,7 @@
             record = self.fleet.records.get(id)
             if record is None or record.share != message.share or record.leaving:
                 continue
-            self._sightings[id] = (now, load)
+            self._last_loads[id] = (now, load)
             if load.heard_ago_s < 0:
                 self._note_unheard(id)
                 continue
@@ -125,7 +125,7 @@
 
     def sighting(self, id: MachineId) -> Sighting | None:
         """What its present owner last told of the machine."""
-        return self._sightings.get(id)
+        return self._last_loads.get(id)
 
     def idle(self) -> IdleMachines:
         """The empty machines of each share, those empty for longest first."""
