--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -110,7 +110,7 @@
             return
         if now >= self._load_at + LOAD_EVERY_S:
             self._load_at = now
-            self._tell_load()
+            self._report_loads()
             self.transfers.tick()
         self.leadership.claim()
         if not self.leadership.leading:
@@ -139,7 +139,7 @@
 
     # --- what owners tell the leader -----------------------------------------------------
 
-    def _tell_load(self) -> None:
+    def _report_loads(self) -> None:
         leader = self.leadership.leader()
         pages = self._pages = {
             s: self._pages.get(s) or LoadPages(self.fleet, s) for s in self.shares.owned
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -152,7 +152,7 @@
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 1)
         assert not node.versions.reads(Member(old), LOADS_IN_PAGES)
-        node.rental._tell_load()
+        node.rental._report_loads()
     sent = [e.message for e in node.context.effects if isinstance(e, t.SendToPeer)]
     (load,) = [m for m in sent if isinstance(m, ShareLoad)]
     assert len(load.machines) == len(node.fleet.of_share(load.share)) > 1
