--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -178,7 +178,7 @@
         for share in self.shares.all():
             load = self.loads.get(share)
             if load is not None and now - load.at < LOAD_VALID_S:
-                unmet[share] = self._left_over(load.demands, booting[share])
+                unmet[share] = self._deduct_expected(load.demands, booting[share])
         self.pool.observe(unmet)
         self.balance.move_idle(unmet, idle)
         self.hiring.hire_for(unmet)
@@ -230,7 +230,7 @@
         self.inventory.tidy()
         self.boot_times.tidy()
 
-    def _left_over(self, needs: list[Demand], booting: dict[Place, float]) -> list[Demand]:
+    def _deduct_expected(self, needs: list[Demand], booting: dict[Place, float]) -> list[Demand]:
         """Needs that the machines on their way will not meet, taken by their number: which
         task will go to which of them is not decided here."""
         left = dict(booting)
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -98,7 +98,7 @@
     rental = node.rental
 
     def left(coming: dict[str, float]) -> int:
-        rental._left_over([need], {("m4", z, False): n for z, n in coming.items()})
+        rental._deduct_expected([need], {("m4", z, False): n for z, n in coming.items()})
         return need.count
 
     assert left({zone: 1.0, other: 1.0, third: 1.0}) > 0, "eight tasks' room, in three zones"
