--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -138,7 +138,7 @@
                     if not self.pool.must_wait(share, o.type.name, o.zone, o.spot)
                 ]
                 if demand.block and options:
-                    options = self._one_zone(share, demand, options)
+                    options = self._restrict_to_zone(share, demand, options)
                 if not options:
                     continue
                 _, type_, _, spot = min(options, key=lambda o: (o.price, o.type.name, o.spot))
@@ -160,7 +160,7 @@
                 hires.setdefault((name, zone, spot), []).append(share)
         return hires
 
-    def _one_zone(
+    def _restrict_to_zone(
         self, share: ShareNo, need: Demand, options: list[HireOption]
     ) -> list[HireOption]:
         """A whole gang's machines are hired where it lacks least, then where the share has few."""
