--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -72,7 +72,7 @@
         self._listed_now: set[MachineId] = set()  # in the newest list
         self._asking: set[MachineId] = set()  # reported, unknown, and asked themselves
         # A whole unknown fleet may report at once; whoever is not asked now reports again.
-        self._most_asked = context.platform.settings.quota.sockets(len(context.members)).probes
+        self._max_probes = context.platform.settings.quota.sockets(len(context.members)).probes
         self._drop_later: list[MachineId] = []
         self._first_listed: dict[MachineId, Instant] = {}
         self._missing: dict[MachineId, Instant] = {}  # listed once and not any more, since when
@@ -239,7 +239,7 @@
             return
         if id in self._listed_now:
             self.adoption.adopt([FoundMachine(id, type_, zone, spot)])
-        elif id not in self._asking and addr and len(self._asking) < self._most_asked:
+        elif id not in self._asking and addr and len(self._asking) < self._max_probes:
             self._asking.add(id)
 
             def done(outcome: Outcome) -> None:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -488,4 +488,4 @@
 
 def test_a_node_with_the_worlds_settings_has_sockets_for_its_probes() -> None:
     node = Node(platform("n0"), Operators(), random.Random(1), Instant(0.0))
-    assert node.rental.inventory._most_asked >= 1
+    assert node.rental.inventory._max_probes >= 1
