--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -107,11 +107,11 @@
         def done(outcome: Outcome) -> None:
             self._listing = False
             if outcome.status == 200 and self.leading():
-                self._listed(outcome.body, began)
+                self._handle_list(outcome.body, began)
 
         self.context.emit(ListMachines(done))
 
-    def _listed(self, machines: tuple[CloudMachine, ...], began: Instant) -> None:
+    def _handle_list(self, machines: tuple[CloudMachine, ...], began: Instant) -> None:
         lag = self.context.platform.settings.cloud.list_lag_s
         present: set[MachineId] = set()
         found: list[FoundMachine] = []
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -35,16 +35,16 @@
     lag = node.context.platform.settings.cloud.list_lag_s
     began = node.context.now
     node.rental.inventory._first_listed.clear()
-    node.rental.inventory._listed(listed(world), began)
+    node.rental.inventory._handle_list(listed(world), began)
     node.context.effects.clear()
-    node.rental.inventory._listed(listed(world)[1:], Instant(began + 2 * lag))
+    node.rental.inventory._handle_list(listed(world)[1:], Instant(began + 2 * lag))
     assert not [e for e in node.context.effects if isinstance(e, t.Commit)], (
         "it may only be an old list"
     )
     gone = next(iter(world.workers))
 
     def dropped(at: float) -> list[str]:
-        node.rental.inventory._listed(listed(world)[1:], Instant(at))
+        node.rental.inventory._handle_list(listed(world)[1:], Instant(at))
         return [
             k
             for e in node.context.effects
