--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -75,14 +75,16 @@
         self._max_probes = context.platform.settings.quota.sockets(len(context.members)).probes
         self._drop_later: list[MachineId] = []
         self._first_listed: dict[MachineId, Instant] = {}
-        self._missing: dict[MachineId, Instant] = {}  # listed once and not any more, since when
+        self._missing_since: dict[
+            MachineId, Instant
+        ] = {}  # listed once and not any more, since when
         self._list_at = LONG_AGO
         self._listing = False
 
     def begin(self) -> None:
         """Leadership begins: what an earlier one saw is old."""
         self._first_listed.clear()
-        self._missing.clear()
+        self._missing_since.clear()
 
     def tick(self) -> None:
         """Read the cloud's list when it is time."""
@@ -135,15 +137,15 @@
         gone = []
         for id, first in list(self._first_listed.items()):
             if id in present:
-                self._missing.pop(id, None)
+                self._missing_since.pop(id, None)
             elif began > first + 2 * lag + 1.0:
                 # Should lists be older still than they may be: one alone proves nothing, and
                 # no list makes a machine gone that was heard since it may have been made.
-                missing = self._missing.setdefault(id, began)
+                missing = self._missing_since.setdefault(id, began)
                 if began < missing + lag or self._may_live(id, missing):
                     continue
                 del self._first_listed[id]
-                del self._missing[id]
+                del self._missing_since[id]
                 if id in self.fleet.records:
                     self.context.log("info", f"machine {id} is gone from the cloud")
                     gone.append(id)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -56,7 +56,7 @@
     # Lists may be older still than they should be: one alone proves nothing, and no list makes a
     # machine gone whose worker is heard.
     assert not dropped(began + 2 * lag + 1.5) and not dropped(began + 2 * lag + 1.6)
-    node.rental.inventory._missing[gone] = Instant(began - lag)  # type: ignore[index]
+    node.rental.inventory._missing_since[gone] = Instant(began - lag)  # type: ignore[index]
     assert not dropped(began + 2 * lag + 1.7)
     node.rental.view._last_loads.clear()  # no owner says that it is heard
     assert dropped(began + 2 * lag + 1.8) == [f"rc/machine/{gone}"]
