--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -142,7 +142,7 @@
                 # Should lists be older still than they may be: one alone proves nothing, and
                 # no list makes a machine gone that was heard since it may have been made.
                 missing = self._missing_since.setdefault(id, began)
-                if began < missing + lag or self._may_live(id, missing):
+                if began < missing + lag or self._may_still_exist(id, missing):
                     continue
                 del self._first_listed[id]
                 del self._missing_since[id]
@@ -151,7 +151,7 @@
                     gone.append(id)
         self._drop_records(gone)
 
-    def _may_live(self, id: MachineId, missing: Instant) -> bool:
+    def _may_still_exist(self, id: MachineId, missing: Instant) -> bool:
         """Does its owner's word speak against its being gone since then?"""
         sighting = self.view.sighting(id)
         if sighting is None:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -383,14 +383,14 @@
     id, record = next(iter(node.fleet.records.items()))
     missing = Instant(now - 1.0)
     view._last_loads[id] = (Instant(now - 2.0), MachineLoad(0.5, -1.0, 0.0))
-    assert inventory._may_live(id, missing), "an old word, and its owner goes on telling"
+    assert inventory._may_still_exist(id, missing), "an old word, and its owner goes on telling"
     view._last_loads[id] = (Instant(now - 0.5), MachineLoad(0.2, -1.0, 0.0))
-    assert inventory._may_live(id, missing), "heard since"
+    assert inventory._may_still_exist(id, missing), "heard since"
     view._last_loads[id] = (Instant(now - 0.5), MachineLoad(3.0, -1.0, 0.0))
-    assert not inventory._may_live(id, missing), "not heard since, by a newer word"
+    assert not inventory._may_still_exist(id, missing), "not heard since, by a newer word"
     view._last_loads[id] = (Instant(now - 2.0), MachineLoad(0.5, -1.0, 0.0))
     node.rental.loads[record.share].at = Instant(now - LOAD_VALID_S - 0.1)
-    assert not inventory._may_live(id, missing), "its owner tells nothing any more"
+    assert not inventory._may_still_exist(id, missing), "its owner tells nothing any more"
 
 
 def test_an_unknown_fleet_is_asked_with_few_connections() -> None:
