--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -210,7 +210,7 @@
             urgency,
         )
 
-    def reported_unknown(self, report: Report) -> None:
+    def handle_unknown_report(self, report: Report) -> None:
         """A worker reports whose machine nobody recorded: a late hire, an old fleet, or a
         late copy of a report of a machine that is gone."""
         if report.machine in self.fleet.gone:
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -275,7 +275,7 @@
         if not self.store.ready:
             self._answer(beat, ReportAnswer(beat.request, 503))
         elif record is None:
-            self.rental.inventory.reported_unknown(report)
+            self.rental.inventory.handle_unknown_report(report)
             self._answer(beat, ReportAnswer(beat.request, 503))
         elif record.share in self.shares.owned:
             self._own_beat(beat, record.share)
