--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -45,14 +45,14 @@
         self.fleet = fleet
         self.boot_times = boot_times
         self.expected: dict[MachineId, ExpectedMachine] = {}
-        self._idle: dict[ShareNo, dict[MachineId, Instant]] = {}  # since when
+        self._idle_since: dict[ShareNo, dict[MachineId, Instant]] = {}  # since when
         self._last_loads: dict[MachineId, Sighting] = {}
         self._following = False
 
     def begin(self) -> None:
         """Leadership begins: what an earlier one saw is old."""
         self.expected.clear()
-        self._idle.clear()
+        self._idle_since.clear()
         self._last_loads.clear()
         self._following = True
         for id, record in self.fleet.records.items():
@@ -70,7 +70,7 @@
         if not self._following:
             return
         if before is not None:
-            self._idle.get(before.share, {}).pop(id, None)
+            self._idle_since.get(before.share, {}).pop(id, None)
         self._last_loads.pop(id, None)
         self.expected.pop(id, None)
         if record is not None and not record.leaving:
@@ -85,7 +85,7 @@
         if not self._following:
             return
         now = self.context.now
-        idle = self._idle.setdefault(message.share, {})
+        idle = self._idle_since.setdefault(message.share, {})
         for name, load in message.machines.items():
             id = MachineId(name)
             record = self.fleet.records.get(id)
@@ -103,7 +103,7 @@
                 idle[id] = Instant(now - load.idle_s)
 
     def _note_unheard(self, id: MachineId) -> None:
-        self._idle.get(self.fleet.records[id].share, {}).pop(id, None)
+        self._idle_since.get(self.fleet.records[id].share, {}).pop(id, None)
         known = self.expected.get(id)
         if known is None:
             self._expect(id)
@@ -131,7 +131,7 @@
         """The empty machines of each share, those empty for longest first."""
         now = self.context.now
         found: IdleMachines = {}
-        for share, machines in self._idle.items():
+        for share, machines in self._idle_since.items():
             found[share] = sorted(
                 (
                     IdleMachine(now - since, id, self.fleet.records[id])
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -74,7 +74,7 @@
     if rental.leadership.leading and view._following:
         staying = {id for id, r in fleet.records.items() if not r.leaving}
         assert set(view.expected) <= staying
-        for share, machines_idle in view._idle.items():
+        for share, machines_idle in view._idle_since.items():
             assert all(fleet.records[id].share == share for id in machines_idle)
             assert set(machines_idle) <= staying - set(view.expected)
 
