--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -67,7 +67,7 @@
         self.leading = leading
         self.leader = leader
         self.guard = guard
-        self.largest = 0  # machines there were at once
+        self.largest_fleet = 0  # machines there were at once
         self._releasing: set[MachineId] = set()
         self._listed_now: set[MachineId] = set()  # in the newest list
         self._asking: set[MachineId] = set()  # reported, unknown, and asked themselves
@@ -180,7 +180,7 @@
 
     def _forget_gone(self, added: int) -> None:
         """Keep the ids of returned machines bounded: forget more of them than were added."""
-        surplus = len(self.fleet.gone) - REMEMBERED * max(self.largest, 250)
+        surplus = len(self.fleet.gone) - REMEMBERED * max(self.largest_fleet, 250)
         if surplus <= 0:
             return
         size = max(1, self.context.limits.txn_ops)
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -169,7 +169,7 @@
 
     def _plan(self) -> None:
         now = self.context.now
-        self.inventory.largest = max(self.inventory.largest, len(self.fleet.records))
+        self.inventory.largest_fleet = max(self.inventory.largest_fleet, len(self.fleet.records))
         cpus = self.adoption.parts().cpus
         booting = self._expected()
         self._count_expected(booting)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -231,7 +231,7 @@
 def test_forgetting_returned_machines_keeps_up_with_returns() -> None:
     node = leader(ready(machines=1))
     inventory, size = node.rental.inventory, node.context.limits.txn_ops
-    inventory.largest = 0
+    inventory.largest_fleet = 0
     for n in range(1000 + 500):
         key = f"{MACHINE}i-{500_000 + n}"
         node.store._change(key, GoneMachine(), Stamp(10_000 + n))
