--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -27,7 +27,7 @@
 from .demand import Demand, serves
 
 VACATE_S = 15.0  # within which a machine promised to another share must be empty
-CHANGES_OPEN_S = 0.3  # records changed at once: what the write budget pays for in that time
+MAX_CHANGE_BACKLOG_S = 0.3  # records changed at once: what the write budget pays for in that time
 FETCHED_WITHIN_S = 4.0  # the leader asks for an empty machine that another organisation is owed
 YIELD_S = 45.0  # within which a machine that another share asked for must fall empty
 
@@ -95,7 +95,7 @@
         machine = self.fleet.machines.get(id)
         if machine is None or not self._may_leave(machine):
             return None
-        if self._changing >= self.store.affordable(CHANGES_OPEN_S):
+        if self._changing >= self.store.affordable(MAX_CHANGE_BACKLOG_S):
             return None
         return machine
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -29,7 +29,7 @@
 from runcourse.core.leader.adoption import MAX_OPEN_TRANSACTIONS, FoundMachine
 from runcourse.core.leader.demand import LOAD_PAGE, LOAD_VALID_S, LoadPages
 from runcourse.core.leader.inventory import LIST_PAGE
-from runcourse.core.leader.transfers import CHANGES_OPEN_S
+from runcourse.core.leader.transfers import MAX_CHANGE_BACKLOG_S
 from runcourse.core.node import Node
 from runcourse.core.running_counts import RUNNING_PAGE, PeerCounts, RunningPages
 from runcourse.core.shares import Holding
@@ -203,7 +203,7 @@
     for machine in machines:
         node.rental.transfers.handle(ReturnMachine(machine.id))
     moving = [m for m in machines if m.moving]
-    assert 1 <= len(moving) == node.store.affordable(CHANGES_OPEN_S) < len(machines)
+    assert 1 <= len(moving) == node.store.affordable(MAX_CHANGE_BACKLOG_S) < len(machines)
     assert 0.0 < node.store.backlog <= FAIR_BACKLOG_S, "no submission is refused for it"
 
 
