--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -28,7 +28,7 @@
 
 VACATE_S = 15.0  # within which a machine promised to another share must be empty
 MAX_CHANGE_BACKLOG_S = 0.3  # records changed at once: what the write budget pays for in that time
-FETCHED_WITHIN_S = 4.0  # the leader asks for an empty machine that another organisation is owed
+CLAIM_TIMEOUT_S = 4.0  # the leader asks for an empty machine that another organisation is owed
 YIELD_S = 45.0  # within which a machine that another share asked for must fall empty
 
 
@@ -180,7 +180,7 @@
     def _not_fetched(self, machine: Machine, promise: Promise) -> bool:
         """Has it been empty for so long that the leader seems to want it no more?"""
         empty = machine.empty_since
-        return empty is not None and self.context.now > max(empty, promise.since) + FETCHED_WITHIN_S
+        return empty is not None and self.context.now > max(empty, promise.since) + CLAIM_TIMEOUT_S
 
     def _yield(self, request: YieldMachines) -> None:
         """Machines of that many CPUs, those promised before included, go as they fall empty."""
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -8,7 +8,7 @@
 from world import spec
 from world_pool import DEALERS, LONG_S, MINUTE_S, REGISTRY, PoolWorld, recorded
 
-from runcourse.core.leader.transfers import FETCHED_WITHIN_S, VACATE_S, YIELD_S
+from runcourse.core.leader.transfers import CLAIM_TIMEOUT_S, VACATE_S, YIELD_S
 from runcourse.core.machine import Machine
 from runcourse.core.node import Node
 from runcourse.core.status import status_of
@@ -56,7 +56,7 @@
     share = machine.record.share
     ask_to_yield(owner, machine)
     assert closed(world, machine)
-    world.run(FETCHED_WITHIN_S - 1.0)
+    world.run(CLAIM_TIMEOUT_S - 1.0)
     assert closed(world, machine)
     world.run(2.0)
     assert not closed(world, machine)
