--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -17,7 +17,7 @@
 from .demand import LOAD_VALID_S, Demand, LoadReport, serves
 from .fleet_view import IdleMachines
 from .pool import Pool
-from .transfers import VACATE_S, MachineTransfers
+from .transfers import VACATE_TIMEOUT_S, MachineTransfers
 
 VACATE_AFTER_S = 2.0  # work that cheap machines can't take waits so long for an empty one
 VACATE_EVERY_S = 1.0  # between two rounds of such requests
@@ -193,7 +193,7 @@
     def _coming(self, taker: ShareNo) -> float:
         """CPUs that owners were asked lately to empty for the taker's organisation: until they are
         there no more work is stopped for the same need."""
-        while self._vacating and self.context.now > self._vacating[0][0] + VACATE_S:
+        while self._vacating and self.context.now > self._vacating[0][0] + VACATE_TIMEOUT_S:
             self._vacating.popleft()
         return self.pool.machine_size * sum(self.policy.same(to, taker) for _, to in self._vacating)
 
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -26,7 +26,7 @@
 from ..types import Condition, SendToPeer, Write
 from .demand import Demand, serves
 
-VACATE_S = 15.0  # within which a machine promised to another share must be empty
+VACATE_TIMEOUT_S = 15.0  # within which a machine promised to another share must be empty
 MAX_CHANGE_BACKLOG_S = 0.3  # records changed at once: what the write budget pays for in that time
 CLAIM_TIMEOUT_S = 4.0  # the leader asks for an empty machine that another organisation is owed
 YIELD_S = 45.0  # within which a machine that another share asked for must fall empty
@@ -239,7 +239,7 @@
         )
         if machine is not None:
             self.context.log("info", f"machine {machine.id}: makes way for share {to}")
-            self._promise(machine, to, VACATE_S, request.entitled)
+            self._promise(machine, to, VACATE_TIMEOUT_S, request.entitled)
 
     def _return_silent(self) -> None:
         """A machine that is silent well beyond its reports is returned: once the cloud has
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -8,7 +8,7 @@
 from world import spec
 from world_pool import DEALERS, LONG_S, MINUTE_S, REGISTRY, PoolWorld, recorded
 
-from runcourse.core.leader.transfers import CLAIM_TIMEOUT_S, VACATE_S, YIELD_S
+from runcourse.core.leader.transfers import CLAIM_TIMEOUT_S, VACATE_TIMEOUT_S, YIELD_S
 from runcourse.core.machine import Machine
 from runcourse.core.node import Node
 from runcourse.core.status import status_of
@@ -92,7 +92,7 @@
     world.workers[str(machine.id)].hung = True
     machine.heard = machine.last_answer = owner.context.now  # not taken for silent meanwhile
     with patch.object(owner.fleet, "silence_limit_s", lambda: 1e6):
-        world.run(VACATE_S)
+        world.run(VACATE_TIMEOUT_S)
     assert not closed(world, machine)
 
 
