--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -29,7 +29,7 @@
 VACATE_TIMEOUT_S = 15.0  # within which a machine promised to another share must be empty
 MAX_CHANGE_BACKLOG_S = 0.3  # records changed at once: what the write budget pays for in that time
 CLAIM_TIMEOUT_S = 4.0  # the leader asks for an empty machine that another organisation is owed
-YIELD_S = 45.0  # within which a machine that another share asked for must fall empty
+YIELD_TIMEOUT_S = 45.0  # within which a machine that another share asked for must fall empty
 
 
 class Promise(NamedTuple):
@@ -166,7 +166,7 @@
                 del self._promised[id]
                 if promise.entitled and machine is not None:
                     # Closed to new work again and again, it would keep waiting work from its room.
-                    self._resting[id] = Instant(self.context.now + YIELD_S)
+                    self._resting[id] = Instant(self.context.now + YIELD_TIMEOUT_S)
                     machine.draining_until = self.context.now
             elif not self._may_leave(machine):
                 pass
@@ -206,7 +206,7 @@
             # A machine may be more than half of the difference, if it is no more than all of it.
             if machine.type.cpus <= left or half == left >= machine.type.cpus / 2:
                 left -= machine.type.cpus
-                self._promise(machine, to, YIELD_S, request.entitled)
+                self._promise(machine, to, YIELD_TIMEOUT_S, request.entitled)
 
     def _promise(self, machine: Machine, to: ShareNo, seconds: float, entitled: bool) -> None:
         """Nothing new goes to the machine until it is empty, or the time is over."""
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -8,7 +8,7 @@
 from world import spec
 from world_pool import DEALERS, LONG_S, MINUTE_S, REGISTRY, PoolWorld, recorded
 
-from runcourse.core.leader.transfers import CLAIM_TIMEOUT_S, VACATE_TIMEOUT_S, YIELD_S
+from runcourse.core.leader.transfers import CLAIM_TIMEOUT_S, VACATE_TIMEOUT_S, YIELD_TIMEOUT_S
 from runcourse.core.machine import Machine
 from runcourse.core.node import Node
 from runcourse.core.status import status_of
@@ -70,12 +70,12 @@
     )
     world.until(lambda: machine.busy, 10)
     ask_to_yield(owner, machine)
-    world.run(YIELD_S - 1.0)
+    world.run(YIELD_TIMEOUT_S - 1.0)
     assert closed(world, machine)
     world.run(2.0)
     ask_to_yield(owner, machine)
     assert not closed(world, machine)
-    world.run(YIELD_S)
+    world.run(YIELD_TIMEOUT_S)
     ask_to_yield(owner, machine)
     assert closed(world, machine)
 
