--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -39,7 +39,7 @@
         "count",
         "entry",
         "hire",
-        "lacks",
+        "missing_by_zone",
         "room",
         "shut",
         "size",
@@ -58,7 +58,9 @@
         # owners have no such needs.
         self.block = entry.block
         self.room = entry.room
-        self.lacks: dict[str, int] = {}  # for how many there is none, by zone, while planning
+        self.missing_by_zone: dict[
+            str, int
+        ] = {}  # for how many there is none, by zone, while planning
 
     @property
     def age(self) -> float:
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -170,9 +170,9 @@
                 counts[group.zone] += number
         zone = min(
             {o.zone for o in options},
-            key=lambda z: (need.lacks.get(z, need.hire), counts[z], z),
+            key=lambda z: (need.missing_by_zone.get(z, need.hire), counts[z], z),
         )
-        need.count = need.lacks.get(zone, need.hire)
+        need.count = need.missing_by_zone.get(zone, need.hire)
         return [o for o in options if o.zone == zone]
 
     def _hire(self, place: Place, shares: list[ShareNo]) -> None:
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -256,17 +256,17 @@
             for type_ in self.fleet.types.values()
             for zone in type_.zones or self.context.platform.settings.zones
         }
-        need.lacks = {
+        need.missing_by_zone = {
             zone: need.hire - need.room.get(zone, 0)
             for zone in sorted(zones)
             if zone not in need.shut and need.zone in (None, zone)
         }
         for place, machines in left.items():
-            if machines > 0 and place[1] in need.lacks and serves(need, *place):
+            if machines > 0 and place[1] in need.missing_by_zone and serves(need, *place):
                 each = fits_times(need.size, self.fleet.types[place[0]].size)
-                need.lacks[place[1]] -= math.floor(machines * each + 1e-6)
-        zone = min(need.lacks, key=lambda z: need.lacks[z], default=None)
-        if zone is None or need.lacks[zone] > 0:
+                need.missing_by_zone[place[1]] -= math.floor(machines * each + 1e-6)
+        zone = min(need.missing_by_zone, key=lambda z: need.missing_by_zone[z], default=None)
+        if zone is None or need.missing_by_zone[zone] > 0:
             return
         wanted = need.hire - need.room.get(zone, 0)
         need.count = 0
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -129,11 +129,11 @@
                 if seconds >= 1.0 and serves(need, record.type, record.zone, record.spot):
                     n = fits_times(need.size, self.fleet.types[record.type].size)
                     room[record.zone] = room.get(record.zone, 0) + n
-        enough = [zone for zone in room if room[zone] >= need.lacks.get(zone, need.hire)]
+        enough = [zone for zone in room if room[zone] >= need.missing_by_zone.get(zone, need.hire)]
         if not enough:
             return False
-        need.zone = min(enough, key=lambda z: (need.lacks.get(z, need.hire), z))
-        need.count = need.lacks.get(need.zone, need.hire)
+        need.zone = min(enough, key=lambda z: (need.missing_by_zone.get(z, need.hire), z))
+        need.count = need.missing_by_zone.get(need.zone, need.hire)
         return True
 
     def vacate_for(self, unmet: dict[ShareNo, list[Demand]]) -> None:
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -102,10 +102,10 @@
         return need.count
 
     assert left({zone: 1.0, other: 1.0, third: 1.0}) > 0, "eight tasks' room, in three zones"
-    assert need.lacks[zone] == 6 - need.room[zone] - 2
+    assert need.missing_by_zone[zone] == 6 - need.room[zone] - 2
     options = [HireOption(1.0, node.fleet.types["m4"], z, False) for z in (zone, other, third)]
     assert {o.zone for o in rental.hiring._restrict_to_zone(share, need, options)} == {zone}
-    assert need.count == need.lacks[zone], "only what is missing there"
+    assert need.count == need.missing_by_zone[zone], "only what is missing there"
     assert left({zone: 2.0}) == 0
 
 
