--- a/runcourse/core/leader/__init__.py
+++ b/runcourse/core/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader does, and what owners do for it: the fleet, its shares, hiring and returns."""
+"""The leader: fleet planning, hiring and returning machines, and transfers between shares."""
--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -1,4 +1,7 @@
-"""Recording machines: each gets its share, and a record before the first command to it."""
+"""Adoption of unrecorded machines: assigns each to a share and records it in the store.
+
+A machine is recorded before the first command is sent to it.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,12 @@
 from ..types import Condition, Write
 from .demand import LoadReport
 
-MAX_OPEN_TRANSACTIONS = 2  # transactions of records under way at once
+MAX_OPEN_TRANSACTIONS = 2  # concurrent transactions that record machines
+MIN_TEAMS_PER_SHARE = 0.5  # a share without teams counts as this many, so its demand is never 0
 
 
 class FoundMachine(NamedTuple):
-    """A machine without a record; `share`: the one it was hired for, if any."""
+    """A machine without a record; `share` is the share it was hired for, if any."""
 
     id: MachineId
     type: str
@@ -30,34 +34,42 @@
     share: ShareNo | None = None
 
 
-def halves(ids: list[MachineId]) -> list[list[MachineId]]:
-    """Of a batch that the state service doesn't take; one alone is given up."""
+def split_batch(ids: list[MachineId]) -> list[list[MachineId]]:
+    """Returns the halves of a batch that the state service rejects as too large.
+
+    The result is empty for a single machine, whose change is given up.
+    """
     middle = len(ids) // 2
     return [ids[:middle], ids[middle:]] if middle else []
 
 
-class FleetParts:
-    """What each share holds of the fleet, and what it should."""
+class FleetAllocation:
+    """CPUs and machine counts of each share."""
 
-    def __init__(self, cpus: dict[ShareNo, float], same: Counter[tuple[ShareNo, str]]) -> None:
+    def __init__(
+        self, cpus: dict[ShareNo, float], machine_counts: Counter[tuple[ShareNo, str]]
+    ) -> None:
         self.cpus = cpus
-        self.same = same  # machines by share and type
+        self.machine_counts = machine_counts  # by share and type
 
-    def poorest(self, type_: str, wanted: dict[ShareNo, float]) -> ShareNo:
-        """The share that a machine without one goes to: least for what it wants."""
-        return min(self.cpus, key=lambda s: (self.cpus[s] / wanted[s], self.same[s, type_], s))
+    def neediest_share(self, type_: str, demand_cpus: dict[ShareNo, float]) -> ShareNo:
+        """Returns the share with the fewest CPUs for its demand; it gets the next machine."""
+        return min(
+            self.cpus,
+            key=lambda s: (self.cpus[s] / demand_cpus[s], self.machine_counts[s, type_], s),
+        )
 
     def add(self, share: ShareNo, type_: str, cpus: float) -> None:
-        """A machine more for the share."""
+        """Counts one more machine for the share."""
         self.cpus[share] += cpus
-        self.same[share, type_] += 1
+        self.machine_counts[share, type_] += 1
 
 
 class Adoption:
-    """The leader's records of new machines, many in a transaction and few transactions at once.
+    """Records new machines on the leader, in large batches and few concurrent transactions.
 
-    A whole fleet takes the state service a minute to record. So that users' changes are not behind
-    all of it, a large number goes in turn with them.
+    Recording a whole fleet takes the state service about a minute. A large number of records is
+    therefore queued with the urgency of users' changes, so that these don't wait for all of it.
     """
 
     def __init__(
@@ -77,45 +89,48 @@
         self.loads = loads
         self.leading = leading
         self.guard = guard
-        self.returned: set[MachineId] = set()  # not to be recorded again
-        self._pending_records: dict[MachineId, Record] = {}  # being recorded, or about to be
-        self._groups = MachineGroups()  # of those
+        self.returned: set[MachineId] = set()  # returned machines, never recorded again
+        self._pending_records: dict[MachineId, Record] = {}  # queued or being committed
+        self._groups = MachineGroups()  # groups of the pending records
         self._queue: deque[MachineId] = deque()
-        self._open = 0  # transactions
+        self._open_transactions = 0
 
     def pending_groups(self) -> MachineGroups:
-        """The machines that are being recorded."""
+        """Returns the groups of the machines that are being recorded."""
         return self._groups
 
-    def parts(self) -> FleetParts:
-        """CPUs of each share, and machines by share and type. Those on their way into the
-        records count too, or a whole list goes to one share."""
+    def allocation(self) -> FleetAllocation:
+        """Returns the CPUs of each share, and the machines by share and type.
+
+        Machines that are being recorded count too; otherwise a whole list of new machines would
+        go to one share.
+        """
         cpus = dict.fromkeys(self.shares.all(), 0.0)
-        same: Counter[tuple[ShareNo, str]] = Counter()
+        machine_counts: Counter[tuple[ShareNo, str]] = Counter()
         for groups in (self.fleet.groups, self._groups):
-            for share, more in groups.cpus_by_share(self.fleet.types).items():
-                cpus[share] += more
-            same.update(groups.by_type())
-        return FleetParts(cpus, same)
+            for share, added_cpus in groups.cpus_by_share(self.fleet.types).items():
+                cpus[share] += added_cpus
+            machine_counts.update(groups.by_type())
+        return FleetAllocation(cpus, machine_counts)
 
     def adopt(self, found: list[FoundMachine]) -> None:
-        """Record machines, for the share named or the one that has least."""
-        parts: FleetParts | None = None
-        wanted: dict[ShareNo, float] = {}
+        """Records machines for the share they name, or for the share with the greatest need."""
+        allocation: FleetAllocation | None = None
+        demand_cpus: dict[ShareNo, float] = {}
         for machine in found:
             if not self._is_new(machine):
                 continue
             share = machine.share
             if share is None:
-                if parts is None:
-                    parts, wanted = self.parts(), self._wanted()
-                share = parts.poorest(machine.type, wanted)
-                parts.add(share, machine.type, self.fleet.types[machine.type].cpus)
+                if allocation is None:
+                    allocation, demand_cpus = self.allocation(), self._demand_cpus()
+                share = allocation.neediest_share(machine.type, demand_cpus)
+                allocation.add(share, machine.type, self.fleet.types[machine.type].cpus)
             record = Record(share, machine.type, machine.zone, machine.spot, False, ABSENT)
             self._pending_records[machine.id] = record
             self._groups.add(record)
             self._queue.append(machine.id)
-        self._send()
+        self._commit_queued()
 
     def _is_new(self, machine: FoundMachine) -> bool:
         return (
@@ -126,29 +141,31 @@
             and machine.type in self.fleet.types
         )
 
-    def _wanted(self) -> dict[ShareNo, float]:
-        """What shares should hold of the fleet, in CPUs: their waiting and running requests,
-        and before there are any, as their teams are many."""
+    def _demand_cpus(self) -> dict[ShareNo, float]:
+        """Returns the CPUs that waiting and running tasks of each share request.
+
+        The number of teams of the share is added, so that it decides while there are no tasks.
+        """
         teams = Counter(
             self.shares.of_team(Team(team.name)) for team in self.context.platform.settings.teams
         )
-        wanted: dict[ShareNo, float] = {}
+        demand_cpus: dict[ShareNo, float] = {}
         for share in self.shares.all():
             load = self.loads.get(share)
-            waiting = sum(n.size.cpus * n.count for n in load.demands) if load else 0.0
+            waiting = sum(d.size.cpus * d.count for d in load.demands) if load else 0.0
             used = load.used if load else 0.0
-            wanted[share] = max(teams[share], 0.5) + used + waiting
-        return wanted
+            demand_cpus[share] = max(teams[share], MIN_TEAMS_PER_SHARE) + used + waiting
+        return demand_cpus
 
     # --- records -------------------------------------------------------------------------
 
-    def _send(self) -> None:
+    def _commit_queued(self) -> None:
         if not self.leading():
             for id in self._queue:
-                self._forget(id)
+                self._remove_pending(id)
             self._queue.clear()
         size = max(1, self.context.limits.txn_ops)
-        while self._queue and self._open < MAX_OPEN_TRANSACTIONS:
+        while self._queue and self._open_transactions < MAX_OPEN_TRANSACTIONS:
             urgency = (
                 Store.OWNER if len(self._queue) <= MAX_OPEN_TRANSACTIONS * size else Store.USER
             )
@@ -156,19 +173,19 @@
             self._record(batch, urgency)
 
     def _record(self, ids: list[MachineId], urgency: int) -> None:
-        self._open += 1
+        self._open_transactions += 1
 
         def done(result: CommitResult, stamp: Stamp) -> None:
-            self._open -= 1
+            self._open_transactions -= 1
             if result is CommitResult.REJECTED and len(ids) > 1:
-                for part in halves(ids):
-                    self._record(part, urgency)
+                for half in split_batch(ids):
+                    self._record(half, urgency)
             elif result is CommitResult.CONFLICT and len(ids) > 1:
                 self._record_singly(ids)
             else:
                 for id in ids:
-                    self._forget(id)
-            self._send()
+                    self._remove_pending(id)
+            self._commit_queued()
 
         self.store.commit(
             [self.guard(), *(Condition(MACHINE + id, ABSENT) for id in ids)],
@@ -178,13 +195,17 @@
         )
 
     def _record_singly(self, ids: list[MachineId]) -> None:
-        """One of them has a record already, or the lead is lost."""
+        """Records each machine of a conflicting batch in a transaction of its own.
+
+        The conflict means that one of the machines has a record already, or that this node no
+        longer leads.
+        """
         for id in ids:
             if id in self.fleet.records or id in self.fleet.gone:
-                self._forget(id)
+                self._remove_pending(id)
             else:
                 self._record([id], Store.OWNER)
 
-    def _forget(self, id: MachineId) -> None:
-        """It is recorded by now, or will be found again."""
+    def _remove_pending(self, id: MachineId) -> None:
+        """Removes a machine that is recorded by now, or that will be found again."""
         self._groups.remove(self._pending_records.pop(id))
--- a/runcourse/core/leader/catalogue.py
+++ b/runcourse/core/leader/catalogue.py
@@ -1,4 +1,4 @@
-"""The cloud's machine types, read by the leader and kept in the store for all."""
+"""The catalogue of the cloud's machine types, which the leader reads and stores for all nodes."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 from ..versions import Versions
 from .leadership import Leadership
 
-CATALOG_EVERY_S = 30.0
-CATALOG_FIRST_S = 1.0  # while no type is known
+CATALOG_EVERY_S = 30.0  # between two readings of the catalogue
+EMPTY_CATALOG_EVERY_S = 1.0  # while no machine type is known
+SCALAR_COLUMNS = 9  # fields of `MachineType` before `zones`
+BYTES_PER_KB = 1024
 
 CatalogRow = list[Any]  # a machine type as it is stored
 
 
 class Catalogue:
-    """Keeps the stored catalogue as the cloud gives it."""
+    """Keeps the stored catalogue equal to the cloud's."""
 
     def __init__(
         self,
@@ -36,42 +38,46 @@
         self.leadership = leadership
         self.fleet = fleet
         self.versions = versions
-        self._read_at = LONG_AGO
+        self._last_read_at = LONG_AGO
 
     def tick(self) -> None:
-        """Ask the cloud anew when it is time."""
-        every = CATALOG_EVERY_S if self.fleet.types else CATALOG_FIRST_S
-        if self.context.now >= self._read_at + every:
-            self._read_at = self.context.now
-            self.context.emit(ReadCatalog(self._read))
+        """Reads the catalogue from the cloud when it is due."""
+        every = CATALOG_EVERY_S if self.fleet.types else EMPTY_CATALOG_EVERY_S
+        if self.context.now >= self._last_read_at + every:
+            self._last_read_at = self.context.now
+            self.context.emit(ReadCatalog(self._store_catalogue))
 
-    def _read(self, outcome: Outcome) -> None:
+    def _store_catalogue(self, outcome: Outcome) -> None:
         if outcome.status != 200 or not self.leadership.leading:
             return
         types: tuple[MachineType, ...] = outcome.body
-        rows = [[*t[:9], list(t.zones)] for t in types]
+        rows = [[*t[:SCALAR_COLUMNS], list(t.zones)] for t in types]
         pages = self.pages(rows)
         changes: list[Write] = [
             Write(key, page) for key, page in pages.items() if page != self.store.get(key)
         ]
         changes += [Write(key, None) for key in self.store.keys(TYPES) if key not in pages]
         size = self.context.limits.txn_ops
-        for n in range(0, len(changes), size):
+        for start in range(0, len(changes), size):
             self.store.commit(
                 [self.leadership.guard()],
-                changes[n : n + size],
+                changes[start : start + size],
                 lambda result, stamp: None,
                 Store.LATER,
             )
 
     def pages(self, rows: list[CatalogRow]) -> dict[str, list[CatalogRow]]:
-        """The catalogue as it goes into values; the former version reads the first alone."""
-        most = self.context.limits.value_bytes
+        """Returns the catalogue split into stored values, by key.
+
+        Nodes of the former version read the first value only, so it is as large as the present
+        limit allows until all nodes read the further ones.
+        """
+        max_bytes = self.context.limits.value_bytes
         if not self.versions.all_read:
-            most = int(1024 * self.context.platform.settings.state.value_kb)
+            max_bytes = int(BYTES_PER_KB * self.context.platform.settings.state.value_kb)
         pages: list[list[CatalogRow]] = [[]]
         for row in rows:
-            if pages[-1] and json_size([*pages[-1], row]) > most:
+            if pages[-1] and json_size([*pages[-1], row]) > max_bytes:
                 pages.append([])
             pages[-1].append(row)
         return {CATALOG if n == 0 else f"{TYPES}{n}": page for n, page in enumerate(pages)}
--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -1,4 +1,4 @@
-"""What owners tell the leader: what waits for machines, and how theirs fare."""
+"""Load reports of owners to the leader: waiting demand, and the load of the share's machines."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from ..placement import Size, fits_times
 from ..scheduler import Scheduler
 
-Place = tuple[str, str, bool]  # type, zone, spot
-LOAD_VALID_S = 5.0  # for which an owner's word on its share counts
+Offering = tuple[str, str, bool]  # machine type, zone, spot
+LOAD_VALID_S = 5.0  # a load report is ignored when it is older
 LOAD_PAGE = 500  # machines in one message to the leader
+COUNT_ROUNDING = 1e-6  # tolerance when a sum of fractions of machines becomes a whole number
 
 
-class _Shape(NamedTuple):
-    """What tasks have in common that may use the same machines."""
+class _DemandKey(NamedTuple):
+    """Properties shared by tasks that may use the same machines."""
 
     size: Size
     rank: int
@@ -27,40 +28,39 @@
     types: tuple[str, ...] | None
     zone: str | None
     closed_zones: tuple[str, ...]
-    block: str  # the job, if it is a gang bound to one zone
+    block: str  # the job, if it is a gang bound to one zone; otherwise empty
 
 
 class Demand:
-    """Waiting tasks of one shape in one share, or those of one gang."""
+    """Waiting tasks of one share with the same requirements, or those of one gang."""
 
     __slots__ = (
-        "asked",
         "block",
+        "closed_zones",
         "count",
         "entry",
         "hire",
         "missing_by_zone",
         "room",
-        "shut",
         "size",
+        "waiting",
         "zone",
     )
 
     def __init__(self, entry: DemandEntry) -> None:
         self.entry = entry
         self.size = Size(*entry.size)
-        self.asked = entry.waiting
-        self.hire = entry.hire
-        self.count = self.hire  # what is left of that while a plan is made
-        self.zone = entry.zone  # narrowed while a plan is made
-        self.shut = entry.closed_zones
-        # All in one zone or none: fewer machines than that are of no use. The former version's
-        # owners have no such needs.
+        self.waiting = entry.waiting
+        self.hire = entry.hire  # tasks that machines are needed for
+        self.count = self.hire  # those still without a machine; reduced while planning
+        self.zone = entry.zone  # narrowed to one zone while planning
+        self.closed_zones = entry.closed_zones
+        # A gang bound to one zone: room for only some of its tasks in a zone is useless. Owners
+        # of the former version report no such demands.
         self.block = entry.block
-        self.room = entry.room
-        self.missing_by_zone: dict[
-            str, int
-        ] = {}  # for how many there is none, by zone, while planning
+        self.room = entry.room  # tasks of the gang that fit already, by zone
+        # Tasks of the gang without a machine, by zone; set while planning.
+        self.missing_by_zone: dict[str, int] = {}
 
     @property
     def age(self) -> float:
@@ -74,17 +74,17 @@
 
     @property
     def spot(self) -> bool:
-        """May the tasks use spot machines?"""
+        """Whether the tasks may use spot machines."""
         return self.entry.spot
 
     @property
     def types(self) -> list[str] | None:
-        """Allowed machine types; None: any."""
+        """Allowed machine types; None allows any."""
         return self.entry.types
 
 
 class LoadReport:
-    """What an owner tells of a share."""
+    """The latest load report of a share's owner, and when it was received."""
 
     __slots__ = ("at", "demands", "replicas", "used")
 
@@ -95,19 +95,21 @@
         self.replicas = message.replicas
 
 
-def serves(need: Demand, type_: str, zone: str, spot: bool) -> bool:
-    """May tasks of the demand go to machines of that type, zone and kind?"""
+def accepts(demand: Demand, type_: str, zone: str, spot: bool) -> bool:
+    """Returns whether tasks of the demand may run on machines of that type, zone and kind."""
     return (
-        (need.types is None or type_ in need.types)
-        and (need.zone is None or zone == need.zone)
-        and zone not in need.shut
-        and (need.spot or not spot)
+        (demand.types is None or type_ in demand.types)
+        and (demand.zone is None or zone == demand.zone)
+        and zone not in demand.closed_zones
+        and (demand.spot or not spot)
     )
 
 
-def heard_ago(context: Context, machine: Machine) -> float:
-    """Seconds since it was heard; -1 for a new machine that was never heard. One that an
-    earlier owner knew is not new: it counts from the takeover."""
+def seconds_since_heard(context: Context, machine: Machine) -> float:
+    """Returns the seconds since the machine was last heard, or -1 for a new one never heard.
+
+    A machine that an earlier owner knew is not new: its time counts from the takeover.
+    """
     if machine.heard >= 0:
         return context.now - machine.heard
     if machine.record.stamp > machine.share.epoch:
@@ -115,8 +117,8 @@
     return context.now - machine.share.since
 
 
-def _room(share: ShareNo, fleet: Fleet, size: Size, spot: bool) -> dict[str, int]:
-    """How many tasks of that size would start at once, by zone."""
+def _room_by_zone(share: ShareNo, fleet: Fleet, size: Size, spot: bool) -> dict[str, int]:
+    """Returns how many tasks of that size fit on the share's machines now, by zone."""
     room: dict[str, int] = {}
     for machine in fleet.of_share(share).with_room(size):
         if (spot or not machine.record.spot) and fleet.usable(machine):
@@ -126,23 +128,23 @@
 
 
 class LoadPages:
-    """Parts the machines of a share into pages, told in turn: a message must not grow with it."""
+    """Splits the machines of a share into pages for successive messages of bounded size."""
 
     def __init__(self, fleet: Fleet, share: ShareNo) -> None:
         self.fleet = fleet
         self.share = share
-        self._left: list[Machine] = []  # of the present round, the next one last
+        self._remaining: list[Machine] = []  # of the current round, in reverse order
 
     def all(self) -> list[Machine]:
-        """Every machine at once, for a leader of a former version."""
+        """Returns every machine; a leader of a former version needs all in one message."""
         return list(self.fleet.of_share(self.share))
 
     def next(self) -> list[Machine]:
-        """The next page; all machines if they are no more than one holds."""
-        if not self._left:
-            self._left = self.all()
-            self._left.reverse()
-        page, self._left = self._left[-LOAD_PAGE:], self._left[:-LOAD_PAGE]
+        """Returns the next page, which holds all machines if they fit."""
+        if not self._remaining:
+            self._remaining = self.all()
+            self._remaining.reverse()
+        page, self._remaining = self._remaining[-LOAD_PAGE:], self._remaining[:-LOAD_PAGE]
         return [m for m in reversed(page) if self.fleet.machines.get(m.id) is m]
 
 
@@ -154,14 +156,16 @@
     scheduler: Scheduler,
     replicas: bool = False,
 ) -> ShareLoad:
-    """What the owner of a share tells of it, and of some or all of its machines; `replicas`:
-    what services use as well."""
+    """Builds the load report of a share with some or all of its machines.
+
+    With `replicas` the report names the CPUs that services use as well.
+    """
     owned = fleet.of_share(share)
     return ShareLoad(
         share,
         owned.used_cpus,
         {str(m.id): _machine_load(context, m) for m in machines},
-        _entries(context, share, fleet, scheduler),
+        _demand_entries(context, share, fleet, scheduler),
         owned.lasting_cpus if replicas else 0.0,
     )
 
@@ -169,37 +173,39 @@
 def _machine_load(context: Context, machine: Machine) -> MachineLoad:
     empty = not machine.busy and machine.empty_since is not None
     idle = context.now - machine.empty_since if empty and machine.empty_since is not None else -1.0
-    return MachineLoad(round(heard_ago(context, machine), 2), round(idle, 2), machine.used.cpus)
+    return MachineLoad(
+        round(seconds_since_heard(context, machine), 2), round(idle, 2), machine.used.cpus
+    )
 
 
-def _entries(
+def _demand_entries(
     context: Context, share: ShareNo, fleet: Fleet, scheduler: Scheduler
 ) -> list[DemandEntry]:
-    """What waits, with the jobs of one shape taken together."""
-    found: dict[_Shape, list[int]] = {}
-    ages: dict[_Shape, float] = {}
-    for job, count, shut in scheduler.unmet.get(share, ()):
+    """Returns the waiting tasks of a share; jobs with the same requirements form one entry."""
+    found: dict[_DemandKey, list[int]] = {}
+    ages: dict[_DemandKey, float] = {}
+    for job, count, closed_zones in scheduler.unmet.get(share, ()):
         spec = job.spec
-        # A gang in one zone is a need of its own; its first task decides the zone, if placed.
+        # A gang bound to one zone has an entry of its own; a task already placed fixes the zone.
         block = job.uid if spec.gang and spec.together else ""
-        shape = _Shape(job.size, spec.rank, spec.spot, spec.types, spec.zone, shut, block)
-        counts = found.setdefault(shape, [0, 0])
+        key = _DemandKey(job.size, spec.rank, spec.spot, spec.types, spec.zone, closed_zones, block)
+        counts = found.setdefault(key, [0, 0])
         counts[0] += count
         counts[1] += scheduler.needed(job, count)
-        ages[shape] = max(ages.get(shape, 0.0), context.now - job.submitted)
+        ages[key] = max(ages.get(key, 0.0), context.now - job.submitted)
     return [
         DemandEntry(
-            size=(shape.size.cpus, shape.size.memory, shape.size.gpus),
-            rank=shape.rank,
-            spot=shape.spot,
-            types=list(shape.types) if shape.types is not None else None,
-            zone=shape.zone,
-            closed_zones=list(shape.closed_zones),
+            size=(key.size.cpus, key.size.memory, key.size.gpus),
+            rank=key.rank,
+            spot=key.spot,
+            types=list(key.types) if key.types is not None else None,
+            zone=key.zone,
+            closed_zones=list(key.closed_zones),
             waiting=waiting,
             hire=hire,
-            age=ages[shape],
-            block=bool(shape.block),
-            room=_room(share, fleet, shape.size, shape.spot) if shape.block else {},
+            age=ages[key],
+            block=bool(key.block),
+            room=_room_by_zone(share, fleet, key.size, key.spot) if key.block else {},
         )
-        for shape, (waiting, hire) in found.items()
+        for key, (waiting, hire) in found.items()
     ]
--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -1,7 +1,7 @@
-"""The leader's view of the fleet: which machines are on their way, which are empty.
+"""The leader's index of the fleet: machines that are expected to come up, and empty machines.
 
-Owners tell of their machines a page at a time, and the records change one by one; the view follows
-both, so that a plan goes through what boots and what is empty instead of the whole fleet.
+It is updated as records change and as owners report on their machines, a page at a time. A plan
+therefore goes through expected and empty machines only, not through the whole fleet.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class IdleMachine(NamedTuple):
-    """A machine on which nothing is placed, and for how long."""
+    """A machine on which nothing is placed, and for how many seconds."""
 
     seconds: float
     id: MachineId
@@ -28,29 +28,29 @@
 
 
 class ExpectedMachine(NamedTuple):
-    """A recorded machine that its owner has not heard, as far as the leader knows."""
+    """A recorded machine that has not been heard, as far as the leader knows."""
 
-    since: Instant  # its record is known so
-    told: bool  # its owner says so; otherwise the owner has not said anything of it
+    since: Instant  # when its present record was seen, or the instant its wait counts from
+    confirmed: bool  # its owner reported that it is unheard; False before any such report
 
 
-Sighting = tuple[Instant, MachineLoad]  # when an owner told of a machine, and what
+ReceivedLoad = tuple[Instant, MachineLoad]  # an owner's report on a machine, and its arrival
 
 
 class FleetView:
-    """Follows records and load reports while this node leads."""
+    """Indexes records and load reports while this node leads."""
 
     def __init__(self, context: Context, fleet: Fleet, boot_times: BootTimes) -> None:
         self.context = context
         self.fleet = fleet
         self.boot_times = boot_times
         self.expected: dict[MachineId, ExpectedMachine] = {}
-        self._idle_since: dict[ShareNo, dict[MachineId, Instant]] = {}  # since when
-        self._last_loads: dict[MachineId, Sighting] = {}
+        self._idle_since: dict[ShareNo, dict[MachineId, Instant]] = {}
+        self._last_loads: dict[MachineId, ReceivedLoad] = {}
         self._following = False
 
     def begin(self) -> None:
-        """Leadership begins: what an earlier one saw is old."""
+        """Starts anew when leadership begins; an earlier leadership's state is outdated."""
         self.expected.clear()
         self._idle_since.clear()
         self._last_loads.clear()
@@ -60,13 +60,13 @@
                 self._expect(id)
 
     def end(self) -> None:
-        """Leadership is over."""
+        """Stops updating when leadership ends."""
         self._following = False
 
-    # --- what changes --------------------------------------------------------------------
+    # --- updates -------------------------------------------------------------------------
 
     def record_changed(self, id: MachineId, before: Record | None, record: Record | None) -> None:
-        """A record is new, changed or gone."""
+        """Updates the index for a new, changed or deleted record."""
         if not self._following:
             return
         if before is not None:
@@ -74,14 +74,14 @@
         self._last_loads.pop(id, None)
         self.expected.pop(id, None)
         if record is not None and not record.leaving:
-            # A machine that changed shares is new to its owner, not late in coming up.
+            # A machine that changed shares is new to its owner, not overdue.
             self._expect(id)
 
     def _expect(self, id: MachineId) -> None:
-        self.expected[id] = ExpectedMachine(self.context.now, told=False)
+        self.expected[id] = ExpectedMachine(self.context.now, confirmed=False)
 
     def note_load(self, message: ShareLoad) -> None:
-        """The owner of a share tells of some or all of its machines."""
+        """Applies an owner's report on some or all machines of its share."""
         if not self._following:
             return
         now = self.context.now
@@ -104,31 +104,31 @@
 
     def _note_unheard(self, id: MachineId) -> None:
         self._idle_since.get(self.fleet.records[id].share, {}).pop(id, None)
-        known = self.expected.get(id)
-        if known is None:
+        expected = self.expected.get(id)
+        if expected is None:
             self._expect(id)
-        elif not known.told:
-            self.expected[id] = known._replace(told=True)
+        elif not expected.confirmed:
+            self.expected[id] = expected._replace(confirmed=True)
 
     def _note_heard(self, id: MachineId, record: Record) -> None:
         del self.expected[id]
         type_ = self.fleet.types.get(record.type)
         if type_ is not None:
-            self.boot_times.note(id, type_)
+            self.boot_times.note_boot(id, type_)
 
-    def expect_again(self, id: MachineId, since: Instant) -> None:
-        """Wait for the machine as if it had been recorded then."""
+    def restart_wait(self, id: MachineId, since: Instant) -> None:
+        """Waits for the machine as if it had been recorded at that instant."""
         if id in self.expected:
-            self.expected[id] = ExpectedMachine(since, told=True)
+            self.expected[id] = ExpectedMachine(since, confirmed=True)
 
     # --- lookups -------------------------------------------------------------------------
 
-    def sighting(self, id: MachineId) -> Sighting | None:
-        """What its present owner last told of the machine."""
+    def last_load(self, id: MachineId) -> ReceivedLoad | None:
+        """Returns the last report of the machine's present owner on it, if any."""
         return self._last_loads.get(id)
 
-    def idle(self) -> IdleMachines:
-        """The empty machines of each share, those empty for longest first."""
+    def idle_machines(self) -> IdleMachines:
+        """Returns the empty machines of each share, those empty for longest first."""
         now = self.context.now
         found: IdleMachines = {}
         for share, machines in self._idle_since.items():
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -1,4 +1,4 @@
-"""Hiring machines for what waits: where, how many in a request, and what is refused."""
+"""Hiring of machines for waiting tasks: choice of offerings, batched requests, and refusals."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 from ..types import MachineType, Outcome, Rent
 from .adoption import Adoption, FoundMachine
 from .boot_times import BootTimes
-from .demand import Demand, Place, serves
+from .demand import COUNT_ROUNDING, Demand, Offering, accepts
 from .leadership import Leadership
 from .pool import Pool
 
-MAX_HIRE = 50  # machines in one request, by the protocol
-LEAST_PAUSE_S = 4.0  # after a refusal; twice as long each time
-MOST_PAUSE_S = 60.0
-RETRY_HIRE_S = 1.0  # after a request of unknown fate, or one too many
+MAX_HIRE = 50  # machines in one request, by the cloud's protocol
+MIN_REFUSAL_PAUSE_S = 4.0  # after the first refusal of an offering
+MAX_REFUSAL_PAUSE_S = 60.0
+REFUSAL_PAUSE_GROWTH = 2  # factor on the pause for each further refusal
+RETRY_HIRE_S = 1.0  # after a request that was throttled or whose outcome is unknown
+MIN_OPEN_HIRES = 2  # requests that may be open at once under any rate limit
+OPEN_HIRES_PER_RPS = 2  # requests open at once for each request per second of the rate limit
+SPOT_WAIT_BOOT_FRACTION = 0.5  # of a boot time that spot-capable tasks wait for a spot machine
 
 
 class HireOption(NamedTuple):
-    """A kind of machine that may be hired for a task."""
+    """An offering that may be hired for a task."""
 
-    price: float  # of the room for one task
+    price: float  # of the capacity that one task takes
     type: MachineType
     zone: str
     spot: bool
 
 
-class _Wish(NamedTuple):
-    """Machines of one kind for a share, in any of the zones."""
+class _HireGroup(NamedTuple):
+    """Machines of one type and kind wanted by a share, in any of the zones."""
 
     share: ShareNo
     type: str
@@ -43,8 +47,8 @@
     zones: tuple[str, ...]
 
 
-def _in_turn(shares: list[ShareNo]) -> list[ShareNo]:
-    """The same shares, dealt so that any beginning of the list holds some of each."""
+def _interleave(shares: list[ShareNo]) -> list[ShareNo]:
+    """Reorders the list so that each prefix holds every share in proportion to its number."""
     number = Counter(shares)
     seen: Counter[ShareNo] = Counter()
     ranked = []
@@ -74,61 +78,75 @@
         self.adoption = adoption
         self.boot_times = boot_times
         self.pool = pool
-        self.refused: dict[Place, tuple[float, Instant]] = {}  # how long, and until when
-        self._hires = 0
-        self._pending: dict[str, tuple[Rent, list[ShareNo]]] = {}
+        # For each refused offering, the length of its pause and when the pause ends.
+        self.refused: dict[Offering, tuple[float, Instant]] = {}
+        self._request_count = 0
+        self._open_requests: dict[str, tuple[Rent, list[ShareNo]]] = {}
 
-    def pending(self) -> list[tuple[ShareNo, Place]]:
-        """A share and a place for each machine that is being hired."""
+    def open_hires(self) -> list[tuple[ShareNo, Offering]]:
+        """Returns the share and offering of each machine that is being hired."""
         return [
             (share, (rent.type, rent.zone, rent.spot))
-            for rent, shares in self._pending.values()
+            for rent, shares in self._open_requests.values()
             for share in shares
         ]
 
-    def note_refusal(self, place: Place, least: float = LEAST_PAUSE_S) -> None:
-        """The cloud has no such machines now: leave the place alone for a while."""
+    def note_refusal(self, offering: Offering, min_pause_s: float = MIN_REFUSAL_PAUSE_S) -> None:
+        """Pauses an offering that has no machines now, longer after each further refusal."""
         pause = min(
-            MOST_PAUSE_S, max(least, self.refused.get(place, (0.0, self.context.now))[0] * 2)
+            MAX_REFUSAL_PAUSE_S,
+            max(
+                min_pause_s,
+                self.refused.get(offering, (0.0, self.context.now))[0] * REFUSAL_PAUSE_GROWTH,
+            ),
         )
-        self.refused[place] = (pause, Instant(self.context.now + pause))
+        self.refused[offering] = (pause, Instant(self.context.now + pause))
 
-    def _options(self, need: Demand) -> list[HireOption]:
-        """Where machines for such tasks may be hired: price for one task, type, zone, spot."""
+    def _options(self, demand: Demand) -> list[HireOption]:
+        """Returns the offerings that may be hired for the demand now."""
         now = self.context.now
         options: list[HireOption] = []
         for type_ in self.fleet.types.values():
-            n = fits_times(need.size, type_.size)
-            if not n:
+            tasks = fits_times(demand.size, type_.size)
+            if not tasks:
                 continue
             for zone in type_.zones or self.context.platform.settings.zones:
                 for spot in (False, True):
-                    if not serves(need, type_.name, zone, spot):
+                    if not accepts(demand, type_.name, zone, spot):
                         continue
-                    # Dear machines for work that may use cheap ones: only if it has waited.
-                    if need.spot and not spot and need.age < 0.5 * type_.boot_s:
+                    # On-demand machines for spot-capable tasks only after the tasks have waited.
+                    if (
+                        demand.spot
+                        and not spot
+                        and demand.age < SPOT_WAIT_BOOT_FRACTION * type_.boot_s
+                    ):
                         continue
                     if self.refused.get((type_.name, zone, spot), (0.0, now))[1] > now:
                         continue
                     price = type_.spot_price if spot else type_.price
-                    options.append(HireOption(price / min(n, need.count), type_, zone, spot))
+                    options.append(HireOption(price / min(tasks, demand.count), type_, zone, spot))
         return options
 
     def hire_for(self, unmet: dict[ShareNo, list[Demand]]) -> None:
-        """Hire what the demands of all shares come to, in few requests: the cloud's are scarce."""
-        hires = self._by_place(self._wanted(unmet))
-        most = max(2, round(2 * self.context.platform.settings.cloud.rps))
-        for place, shares in sorted(hires.items(), key=lambda h: -len(h[1])):
-            # In turn, so that each share has its part of what is granted.
-            shares = _in_turn(shares)
-            for n in range(0, len(shares), MAX_HIRE):
-                if len(self._pending) >= most:
+        """Hires machines for the unmet demands of all shares.
+
+        Demands are combined into few requests, because the cloud limits their rate.
+        """
+        hires = self._by_offering(self._wanted(unmet))
+        max_open = max(
+            MIN_OPEN_HIRES, round(OPEN_HIRES_PER_RPS * self.context.platform.settings.cloud.rps)
+        )
+        for offering, shares in sorted(hires.items(), key=lambda h: -len(h[1])):
+            # Interleaved, so that each share gets its part if fewer machines are granted.
+            shares = _interleave(shares)
+            for start in range(0, len(shares), MAX_HIRE):
+                if len(self._open_requests) >= max_open:
                     return
-                self._hire(place, shares[n : n + MAX_HIRE])
+                self._hire(offering, shares[start : start + MAX_HIRE])
 
-    def _wanted(self, unmet: dict[ShareNo, list[Demand]]) -> dict[_Wish, float]:
-        """How many machines each share wants, by type, kind and the zones that will do."""
-        wanted: dict[_Wish, float] = {}
+    def _wanted(self, unmet: dict[ShareNo, list[Demand]]) -> dict[_HireGroup, float]:
+        """Returns how many machines each share needs, by type, kind and acceptable zones."""
+        wanted: dict[_HireGroup, float] = {}
         for share, demands in unmet.items():
             for demand in demands:
                 options = self._options(demand) if demand.count > 0 else []
@@ -143,49 +161,53 @@
                     continue
                 _, type_, _, spot = min(options, key=lambda o: (o.price, o.type.name, o.spot))
                 zones = tuple(sorted(o.zone for o in options if o.type is type_ and o.spot == spot))
-                wish = _Wish(share, type_.name, spot, zones)
-                each = fits_times(demand.size, type_.size)
-                wanted[wish] = wanted.get(wish, 0.0) + demand.count / each
+                group = _HireGroup(share, type_.name, spot, zones)
+                tasks_per_machine = fits_times(demand.size, type_.size)
+                wanted[group] = wanted.get(group, 0.0) + demand.count / tasks_per_machine
         return wanted
 
-    def _by_place(self, wanted: dict[_Wish, float]) -> dict[Place, list[ShareNo]]:
-        """Where to hire, and for which shares, a share for each machine."""
+    def _by_offering(self, wanted: dict[_HireGroup, float]) -> dict[Offering, list[ShareNo]]:
+        """Returns the offerings to hire, each with the share of every machine."""
         counts = self.fleet.groups.by_zone()
-        hires: dict[Place, list[ShareNo]] = {}
+        hires: dict[Offering, list[ShareNo]] = {}
         for (share, name, spot, zones), machines in sorted(wanted.items()):
-            for _ in range(math.ceil(machines - 1e-6)):
-                # Zones evenly within the share: its replicas want to be apart.
+            for _ in range(math.ceil(machines - COUNT_ROUNDING)):
+                # Zones are balanced within the share, so that its replicas can be spread.
                 zone = min(zones, key=lambda z: (counts[share, z, spot], z))
                 counts[share, zone, spot] += 1
                 hires.setdefault((name, zone, spot), []).append(share)
         return hires
 
     def _restrict_to_zone(
-        self, share: ShareNo, need: Demand, options: list[HireOption]
+        self, share: ShareNo, demand: Demand, options: list[HireOption]
     ) -> list[HireOption]:
-        """A whole gang's machines are hired where it lacks least, then where the share has few."""
+        """Restricts a gang's demand and options to one zone.
+
+        It is the zone where the gang lacks the fewest machines, then the one where the share has
+        the fewest.
+        """
         counts: Counter[str] = Counter()
         for group, number in self.fleet.groups.counts().items():
             if group.share == share:
                 counts[group.zone] += number
         zone = min(
             {o.zone for o in options},
-            key=lambda z: (need.missing_by_zone.get(z, need.hire), counts[z], z),
+            key=lambda z: (demand.missing_by_zone.get(z, demand.hire), counts[z], z),
         )
-        need.count = need.missing_by_zone.get(zone, need.hire)
+        demand.count = demand.missing_by_zone.get(zone, demand.hire)
         return [o for o in options if o.zone == zone]
 
-    def _hire(self, place: Place, shares: list[ShareNo]) -> None:
-        self._hires += 1
-        # The leader's epoch makes the name unique among all leaders there ever were.
-        name = f"r-{self.store.stamp(LEADER)}-{self._hires}"
-        rent = Rent(lambda outcome: self._hired(name, outcome), name, *place, len(shares))
-        self._pending[name] = (rent, shares)
+    def _hire(self, offering: Offering, shares: list[ShareNo]) -> None:
+        self._request_count += 1
+        # The stamp of the leader key makes the name unique among all leaders, past and future.
+        name = f"r-{self.store.stamp(LEADER)}-{self._request_count}"
+        rent = Rent(lambda outcome: self._hired(name, outcome), name, *offering, len(shares))
+        self._open_requests[name] = (rent, shares)
         self.context.emit(rent)
 
     def _hired(self, name: str, outcome: Outcome) -> None:
-        rent, shares = self._pending.pop(name)
-        place = (rent.type, rent.zone, rent.spot)
+        rent, shares = self._open_requests.pop(name)
+        offering = (rent.type, rent.zone, rent.spot)
         if outcome.status == 200:
             ids: tuple[MachineId, ...] = outcome.body
             self.context.log(
@@ -194,11 +216,11 @@
                 f"{' (spot)' if rent.spot else ''}",
             )
             if len(ids) < rent.number:
-                self.note_refusal(place)
+                self.note_refusal(offering)
             else:
-                self.refused.pop(place, None)
+                self.refused.pop(offering, None)
             if self.leadership.leading:
-                self.boot_times.hired(ids, Instant(outcome.began))
+                self.boot_times.started(ids, Instant(outcome.began))
                 self.adoption.adopt(
                     [
                         FoundMachine(id, rent.type, rent.zone, rent.spot, share)
@@ -206,10 +228,10 @@
                     ]
                 )
         elif outcome.status == 503:
-            self.note_refusal(place)
+            self.note_refusal(offering)
         else:
-            # Too many requests, or of unknown fate: what was hired turns up in the list.
-            self.refused[place] = (
-                self.refused.get(place, (0.0, START))[0],
+            # Throttled, or of unknown outcome: machines hired all the same appear in the list.
+            self.refused[offering] = (
+                self.refused.get(offering, (0.0, START))[0],
                 later(self.context.now, RETRY_HIRE_S),
             )
--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -1,5 +1,7 @@
-"""Which machines there are: the cloud's list, adopting what nobody recorded, returning, and the
-records of what is gone. Only the leader changes any of it."""
+"""Inventory of the fleet: the cloud's list, unrecorded machines, returns and records of the gone.
+
+Only the leader changes any of it.
+"""
 
 from __future__ import annotations
 
@@ -32,19 +34,24 @@
     SendToPeer,
     Write,
 )
-from .adoption import Adoption, FoundMachine, halves
+from .adoption import Adoption, FoundMachine, split_batch
 from .demand import LOAD_VALID_S, LoadReport
 from .fleet_view import FleetView
 
-MAX_RELEASE = 100  # machines in one request, by the protocol
-LIST_PAGE = 500  # the same, in one page of the list
-LIST_PART = 0.25  # of the cloud's rate, that reading its list takes at the most
-LEAST_LIST_S = 3.0  # between two readings
-REMEMBERED = 4  # ids of returned machines kept in the store, by machine of the largest fleet
+MAX_RELEASE = 100  # machines in one request, by the cloud's protocol
+LIST_PAGE = 500  # machines in one page of the list, by the cloud's protocol
+LIST_RATE_FRACTION = 0.25  # of the cloud's rate limit, used at most for reading the list
+MIN_LIST_EVERY_S = 3.0  # between two readings
+LISTS_PER_LAG = 2  # readings of the list within the time by which it may lag
+STALE_LIST_LAGS = 2  # a list is older than the one before it by at most this many lags
+STALE_LIST_SLACK_S = 1.0
+GONE_IDS_PER_MACHINE = 4  # ids of returned machines kept in the store, per machine of the fleet
+MIN_FLEET_FOR_GONE_IDS = 250  # smaller fleets keep as many ids as one of this size
+FORGOTTEN_PER_ADDED = 2  # ids forgotten for each id added, beyond one transaction of them
 
 
 class Inventory:
-    """The leader's view of what the cloud has given."""
+    """Keeps the records in step with the machines that the cloud has provided."""
 
     def __init__(
         self,
@@ -67,44 +74,51 @@
         self.leading = leading
         self.leader = leader
         self.guard = guard
-        self.largest_fleet = 0  # machines there were at once
+        self.largest_fleet = 0  # highest number of machines so far
         self._releasing: set[MachineId] = set()
         self._listed_now: set[MachineId] = set()  # in the newest list
-        self._asking: set[MachineId] = set()  # reported, unknown, and asked themselves
-        # A whole unknown fleet may report at once; whoever is not asked now reports again.
+        self._probing: set[MachineId] = set()  # unknown machines whose workers are being probed
+        # A whole unknown fleet may report at once. A worker that is not probed reports again.
         self._max_probes = context.platform.settings.quota.sockets(len(context.members)).probes
-        self._drop_later: list[MachineId] = []
+        self._drops_to_retry: list[MachineId] = []
         self._first_listed: dict[MachineId, Instant] = {}
-        self._missing_since: dict[
-            MachineId, Instant
-        ] = {}  # listed once and not any more, since when
-        self._list_at = LONG_AGO
+        # Machines that were listed before and are no longer, with the first list without them.
+        self._missing_since: dict[MachineId, Instant] = {}
+        self._last_list_at = LONG_AGO
         self._listing = False
 
     def begin(self) -> None:
-        """Leadership begins: what an earlier one saw is old."""
+        """Starts anew when leadership begins; lists read by an earlier one are outdated."""
         self._first_listed.clear()
         self._missing_since.clear()
 
     def tick(self) -> None:
-        """Read the cloud's list when it is time."""
-        if not self._listing and self.context.now >= self._list_at + self._list_every_s():
-            self._list()
+        """Reads the cloud's list when it is due."""
+        if not self._listing and self.context.now >= self._last_list_at + self._list_every_s():
+            self._read_list()
 
     def _list_every_s(self) -> float:
-        """A list of many pages is read less often: hires and returns need the cloud's rate too."""
+        """Returns the seconds between two readings of the list.
+
+        A list of many pages is read less often, because hires and returns need the cloud's rate
+        limit too.
+        """
         cloud = self.context.platform.settings.cloud
         pages = math.ceil(len(self._listed_now) / LIST_PAGE)
-        return max(cloud.list_lag_s / 2, LEAST_LIST_S, pages / (LIST_PART * cloud.rps))
+        return max(
+            cloud.list_lag_s / LISTS_PER_LAG,
+            MIN_LIST_EVERY_S,
+            pages / (LIST_RATE_FRACTION * cloud.rps),
+        )
 
-    def tidy(self) -> None:
-        """What is in the store as gone need not be kept twice."""
+    def prune(self) -> None:
+        """Forgets returned machines that the store lists as gone."""
         self.adoption.returned -= self.fleet.gone
 
-    def _list(self) -> None:
+    def _read_list(self) -> None:
         began = self.context.now
         self._listing = True
-        self._list_at = began
+        self._last_list_at = began
 
         def done(outcome: Outcome) -> None:
             self._listing = False
@@ -118,29 +132,29 @@
         present: set[MachineId] = set()
         found: list[FoundMachine] = []
         failed: list[MachineId] = []
-        for m in machines:
-            present.add(m.id)
-            first = self._first_listed.setdefault(m.id, began)
-            if m.id in self.adoption.returned or m.id in self.fleet.gone:
+        for machine in machines:
+            present.add(machine.id)
+            first = self._first_listed.setdefault(machine.id, began)
+            if machine.id in self.adoption.returned or machine.id in self.fleet.gone:
                 continue
-            self.fleet.learn_addr(m.id, m.addr)
-            if m.id not in self.fleet.records:
-                found.append(FoundMachine(m.id, m.type, m.zone, m.spot))
-            elif m.stage == "failed" and began >= first:
-                failed.append(m.id)
+            self.fleet.learn_addr(machine.id, machine.addr)
+            if machine.id not in self.fleet.records:
+                found.append(FoundMachine(machine.id, machine.type, machine.zone, machine.spot))
+            elif machine.stage == "failed" and began >= first:
+                failed.append(machine.id)
         self._listed_now = present
         self.adoption.adopt(found)
-        for n in range(0, len(failed), MAX_RELEASE):
-            self._release(failed[n : n + MAX_RELEASE])
-        # Once listed, a machine stays listed until it is gone; but a list may be older than
-        # the one before it, by no more than twice the lag.
+        for start in range(0, len(failed), MAX_RELEASE):
+            self._release(failed[start : start + MAX_RELEASE])
+        # Once listed, a machine stays listed until it is gone. But a list may be older than the
+        # one before it, by up to twice the lag.
         gone = []
         for id, first in list(self._first_listed.items()):
             if id in present:
                 self._missing_since.pop(id, None)
-            elif began > first + 2 * lag + 1.0:
-                # Should lists be older still than they may be: one alone proves nothing, and
-                # no list makes a machine gone that was heard since it may have been made.
+            elif began > first + STALE_LIST_LAGS * lag + STALE_LIST_SLACK_S:
+                # Lists may be even older than that, so a single one doesn't prove that a machine
+                # is gone. Nor do several if the machine was heard after they may have been made.
                 missing = self._missing_since.setdefault(id, began)
                 if began < missing + lag or self._may_still_exist(id, missing):
                     continue
@@ -152,44 +166,54 @@
         self._drop_records(gone)
 
     def _may_still_exist(self, id: MachineId, missing: Instant) -> bool:
-        """Does its owner's word speak against its being gone since then?"""
-        sighting = self.view.sighting(id)
-        if sighting is None:
+        """Returns whether the machine may exist although lists have omitted it since `missing`.
+
+        That is so if its owner reported that it was heard since then, or if the owner's next
+        report on it is still to come.
+        """
+        received = self.view.last_load(id)
+        if received is None:
             return False
-        told_at, told = sighting
-        if told.heard_ago_s >= 0 and told_at - told.heard_ago_s > missing:
+        received_at, machine_load = received
+        if machine_load.heard_ago_s >= 0 and received_at - machine_load.heard_ago_s > missing:
             return True
-        # Owners tell of their machines in turn: an older word is followed by a newer one.
+        # Owners report on their machines a page at a time: a newer report follows an older one.
         load = self.loads.get(self.fleet.records[id].share) if id in self.fleet.records else None
-        owner_speaks = load is not None and self.context.now < load.at + LOAD_VALID_S
-        return owner_speaks and told_at <= missing
+        owner_reports = load is not None and self.context.now < load.at + LOAD_VALID_S
+        return owner_reports and received_at <= missing
 
     def _drop_records(self, ids: list[MachineId]) -> None:
-        """Machines that are surely gone. Their ids stay in the store: late copies of their
-        reports must not bring them back, whoever leads by then."""
+        """Replaces the records of machines that are surely gone by markers.
+
+        Their ids stay in the store, so that late copies of their reports don't bring them back
+        under any later leader.
+        """
         if not self.leading():
             return
         ids = [id for id in ids if id in self.fleet.records]
         self.adoption.returned.update(ids)
         size = max(1, self.context.limits.txn_ops)
-        # The first at once, as tasks may wait for the word that theirs are gone; many go behind
-        # what users ask, or the leader would refuse them while a fleet is returned.
-        for n in range(0, len(ids), size):
-            self._drop_batch(ids[n : n + size], Store.LATER if n else Store.OWNER)
+        # The first batch is urgent, as the tasks of these machines may wait to be started
+        # elsewhere. The others are queued behind users' changes; otherwise the leader would
+        # refuse users' requests while a fleet is returned.
+        for start in range(0, len(ids), size):
+            self._drop_batch(ids[start : start + size], Store.LATER if start else Store.OWNER)
         self._forget_gone(len(ids))
 
     def _forget_gone(self, added: int) -> None:
-        """Keep the ids of returned machines bounded: forget more of them than were added."""
-        surplus = len(self.fleet.gone) - REMEMBERED * max(self.largest_fleet, 250)
+        """Bounds the stored ids of returned machines by forgetting more of them than were added."""
+        surplus = len(self.fleet.gone) - GONE_IDS_PER_MACHINE * max(
+            self.largest_fleet, MIN_FLEET_FOR_GONE_IDS
+        )
         if surplus <= 0:
             return
         size = max(1, self.context.limits.txn_ops)
-        number = min(surplus, size + 2 * added)
+        number = min(surplus, size + FORGOTTEN_PER_ADDED * added)
         oldest = heapq.nsmallest(number, self.fleet.gone, key=creation_order)
-        for n in range(0, len(oldest), size):
+        for start in range(0, len(oldest), size):
             self.store.commit(
                 [self.guard()],
-                [Write(MACHINE + id, None) for id in oldest[n : n + size]],
+                [Write(MACHINE + id, None) for id in oldest[start : start + size]],
                 lambda result, stamp: None,
                 Store.LATER,
             )
@@ -197,10 +221,10 @@
     def _drop_batch(self, ids: list[MachineId], urgency: int) -> None:
         def done(result: CommitResult, stamp: Stamp) -> None:
             if result is CommitResult.REJECTED:
-                for part in halves(ids):
-                    self._drop_batch(part, urgency)
+                for half in split_batch(ids):
+                    self._drop_batch(half, urgency)
             elif result is not CommitResult.OK:
-                self._drop_later.extend(id for id in ids if id in self.fleet.records)
+                self._drops_to_retry.extend(id for id in ids if id in self.fleet.records)
 
         when = [Condition(MACHINE + id, self.fleet.records[id].stamp) for id in ids]
         self.store.commit(
@@ -211,8 +235,11 @@
         )
 
     def handle_unknown_report(self, report: Report) -> None:
-        """A worker reports whose machine nobody recorded: a late hire, an old fleet, or a
-        late copy of a report of a machine that is gone."""
+        """Handles a worker's report whose machine has no record.
+
+        The machine may come from a late hire or an old fleet, or the report may be a late copy
+        from a machine that is gone. Nodes that don't lead pass it on to the leader.
+        """
         if report.machine in self.fleet.gone:
             return
         if self.leading():
@@ -230,22 +257,25 @@
                 )
 
     def handle_unknown_machine(self, message: UnknownMachine) -> None:
-        """A peer had a report of a machine without a record."""
+        """Handles a peer's message that it received a report of a machine without a record."""
         if self.leading():
             self._check_unknown(message.id, message.addr, message.type, message.zone, message.spot)
 
     def _check_unknown(self, id: MachineId, addr: str, type_: str, zone: str, spot: bool) -> None:
-        """A report is no proof that its machine exists: the cloud's list is, or the worker
-        itself, asked now."""
+        """Adopts an unknown machine if it exists.
+
+        A report alone doesn't prove that; the cloud's list does, or the worker's answer to a
+        probe sent now.
+        """
         if id in self.fleet.gone or id in self.adoption.returned or id in self.fleet.records:
             return
         if id in self._listed_now:
             self.adoption.adopt([FoundMachine(id, type_, zone, spot)])
-        elif id not in self._asking and addr and len(self._asking) < self._max_probes:
-            self._asking.add(id)
+        elif id not in self._probing and addr and len(self._probing) < self._max_probes:
+            self._probing.add(id)
 
             def done(outcome: Outcome) -> None:
-                self._asking.discard(id)
+                self._probing.discard(id)
                 live = outcome.body
                 if isinstance(live, Report) and live.machine == id and self.leading():
                     self.adoption.adopt([FoundMachine(id, live.type, live.zone, live.spot)])
@@ -253,9 +283,9 @@
             self.context.emit(Probe(done, addr))
 
     def release_leaving(self) -> None:
-        """Return the machines that are marked as leaving."""
-        later, self._drop_later = self._drop_later, []
-        self._drop_records(later)
+        """Returns machines marked as leaving to the cloud, and retries failed record drops."""
+        ids, self._drops_to_retry = self._drops_to_retry, []
+        self._drop_records(ids)
         leaving = [
             id
             for id in self.fleet.leaving
@@ -265,7 +295,7 @@
             self._release(leaving[:MAX_RELEASE])
 
     def _release(self, ids: list[MachineId]) -> None:
-        ids = [i for i in ids if i not in self._releasing]
+        ids = [id for id in ids if id not in self._releasing]
         if not ids:
             return
         self._releasing.update(ids)
@@ -273,7 +303,7 @@
         def done(outcome: Outcome) -> None:
             self._releasing.difference_update(ids)
             if outcome.status == 200:
-                # They and everything on them are gone: the records may go too.
+                # The machines and everything on them are gone, so their records may go too.
                 self._drop_records(ids)
 
         self.context.emit(Release(done, ids))
--- a/runcourse/core/leader/leadership.py
+++ b/runcourse/core/leader/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads: a leased key that names the leader."""
+"""Election of the leader by a leased key that names it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Leadership:
-    """Claims the lead when nobody has it, and tells who does."""
+    """Claims the leader key when no node holds it, and reads which node does."""
 
     def __init__(self, context: Context, store: Store, authority: Authority) -> None:
         self.context = context
@@ -21,7 +21,7 @@
 
     @property
     def leading(self) -> bool:
-        """May this node act as the leader now?"""
+        """Whether this node may act as the leader now."""
         value = self.store.get(LEADER)
         return (
             bool(value)
@@ -31,12 +31,12 @@
         )
 
     def leader(self) -> str | None:
-        """The member that leads, if any."""
+        """Returns the member that leads, if any."""
         value = self.store.get(LEADER)
         return str(value.member) if value else None
 
     def claim(self) -> None:
-        """Try to lead if nobody does."""
+        """Tries to become the leader if there is none."""
         if (
             self._claiming
             or not self.authority.live
@@ -64,5 +64,5 @@
         )
 
     def guard(self) -> Condition:
-        """The condition that makes a late change of a former leader fail."""
+        """Returns the condition under which late changes of a former leader fail."""
         return self.store.expect(LEADER)
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -1,4 +1,4 @@
-"""The leader's picture of the pool for the entitlement policy, and who goes first at a place."""
+"""The machine pool as the entitlement policy observes it, and precedence among organisations."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ..ids import ShareNo
 from ..machines import Fleet
 from ..placement import fits_times
-from .demand import LOAD_VALID_S, Demand, LoadReport, Place, serves
+from .demand import LOAD_VALID_S, Demand, LoadReport, Offering, accepts
 
 Unmet = Mapping[ShareNo, list[Demand]]
 
 
 class Pool:
-    """Shows the policy the pool before each plan, and asks it who goes first."""
+    """Passes the pool's state to the policy before each plan, and applies its precedence."""
 
     def __init__(
         self,
@@ -29,76 +29,85 @@
         self.fleet = fleet
         self.loads = loads
         self.policy = policy
-        self.machine_size = 0.0  # CPUs of the largest machine on record
-        self._first: list[tuple[ShareNo, Demand]] = []  # waiting work that goes first
-        self._places: Counter[Place] = Counter()  # machines on record that stay
+        self.largest_machine_cpus = 0.0  # CPUs of the largest recorded machine
+        # Unmet demands of organisations that are short of their targets: they take precedence.
+        self._precedent: list[tuple[ShareNo, Demand]] = []
+        self._offerings: Counter[Offering] = Counter()  # recorded machines that are not leaving
 
     def capacity(self) -> float:
-        """CPUs on record, without machines that leave."""
+        """Returns the CPUs of all recorded machines that are not leaving."""
         return sum(self.fleet.groups.cpus_by_share(self.fleet.types).values())
 
     def observe(self, unmet: Unmet) -> None:
-        """A plan begins: what is known of the pool now."""
-        self._first = []
+        """Passes the present state of the pool to the policy, before a plan is made."""
+        self._precedent = []
         if not self.policy.in_force:
             return
         for line in self.policy.observe(self._state(), self.context.now):
             self.context.log("info", line)
-        self._first = [
-            (share, need)
-            for share, needs in unmet.items()
+        self._precedent = [
+            (share, demand)
+            for share, demands in unmet.items()
             if self.policy.short(share)
-            for need in needs
+            for demand in demands
         ]
 
     def _state(self) -> PoolState:
-        # Records at one revision of the store, never sums of what peers told.
+        # Computed from the records at one revision of the store, never by summing values that
+        # peers reported.
         held = self.fleet.groups.cpus_by_share(self.fleet.types)
-        self._places = Counter()
+        self._offerings = Counter()
         for group, number in self.fleet.groups.counts().items():
             if not group.leaving:
-                self._places[group.type, group.zone, group.spot] += number
-        types = {type_ for type_, _, _ in self._places}
+                self._offerings[group.type, group.zone, group.spot] += number
+        types = {type_ for type_, _, _ in self._offerings}
         largest = max((t.cpus for t in self.fleet.types.values() if t.name in types), default=0.0)
-        self.machine_size = largest
-        shares = [self._share(share, held.get(share, 0.0)) for share in self._all()]
+        self.largest_machine_cpus = largest
+        shares = [self._share_state(share, held.get(share, 0.0)) for share in self._all_shares()]
         return PoolState(shares, largest)
 
-    def _all(self) -> list[ShareNo]:
+    def _all_shares(self) -> list[ShareNo]:
         return [ShareNo(n) for n in range(len(self.context.members))]
 
-    def _share(self, share: ShareNo, held: float) -> ShareState:
+    def _share_state(self, share: ShareNo, held: float) -> ShareState:
         load = self.loads.get(share)
         if load is None or self.context.now - load.at >= LOAD_VALID_S:
             return ShareState(share, held, 0.0, 0.0, 0.0, False)
-        asked = sum(self.machine_cpus(need) for need in load.demands)
+        asked = sum(self.machine_cpus(demand) for demand in load.demands)
         return ShareState(share, held, load.used, load.replicas, asked, True)
 
-    def machine_cpus(self, need: Demand) -> float:
-        """CPUs of the machines on record that the tasks could fill: what fits no machine that
-        there is asks nobody for any."""
-        least: float | None = None
-        there = 0.0
-        for (name, zone, spot), machines in self._places.items():
+    def machine_cpus(self, demand: Demand) -> float:
+        """Returns the CPUs of recorded machines that the waiting tasks could fill.
+
+        It is 0 for tasks that fit no recorded machine: no owner can yield a machine for them.
+        """
+        cpus_per_task: float | None = None
+        suitable_cpus = 0.0
+        for (name, zone, spot), machines in self._offerings.items():
             type_ = self.fleet.types.get(name)
-            times = fits_times(need.size, type_.size) if type_ is not None else 0
-            if type_ is not None and times and serves(need, name, zone, spot):
-                there += machines * type_.cpus
-                each = type_.cpus / times
-                least = each if least is None else min(least, each)
-        return min(need.asked * least, there) if least is not None else 0.0
+            tasks = fits_times(demand.size, type_.size) if type_ is not None else 0
+            if type_ is not None and tasks and accepts(demand, name, zone, spot):
+                suitable_cpus += machines * type_.cpus
+                each = type_.cpus / tasks
+                cpus_per_task = each if cpus_per_task is None else min(cpus_per_task, each)
+        return (
+            min(demand.waiting * cpus_per_task, suitable_cpus) if cpus_per_task is not None else 0.0
+        )
 
     def must_wait(self, share: ShareNo, type_: str, zone: str, spot: bool) -> bool:
-        """Does an organisation that holds enough want a place that one short of its target asks
-        for? Nothing waits for work that the place would be of no use to."""
+        """Returns whether the share must leave such a machine to another organisation.
+
+        That is so if its own organisation holds all it is entitled to, and another one that is
+        short of its target has waiting tasks that could use the machine.
+        """
         return (
-            bool(self._first)
+            bool(self._precedent)
             and self.policy.exceeds(share)
             and any(
-                need.count > 0
+                demand.count > 0
                 and not self.policy.same(share, other)
-                and serves(need, type_, zone, spot)
-                and fits_times(need.size, self.fleet.types[type_].size) > 0
-                for other, need in self._first
+                and accepts(demand, type_, zone, spot)
+                and fits_times(demand.size, self.fleet.types[type_].size) > 0
+                for other, demand in self._precedent
             )
         )
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -1,4 +1,4 @@
-"""The leader's plan: what to hire for what waits, and what to return."""
+"""The leader's periodic plan: which machines to hire, return and move between shares."""
 
 from __future__ import annotations
 
@@ -18,29 +18,38 @@
 from ..types import MachineType, SendToPeer
 from ..versions import LOADS_IN_PAGES, Versions
 from .adoption import Adoption
-from .balance import Balance
 from .boot_times import BootTimes
 from .catalogue import Catalogue
-from .demand import LOAD_VALID_S, Demand, LoadPages, LoadReport, Place, serves, share_load
+from .demand import (
+    COUNT_ROUNDING,
+    LOAD_VALID_S,
+    Demand,
+    LoadPages,
+    LoadReport,
+    Offering,
+    accepts,
+    share_load,
+)
 from .fleet_view import FleetView
 from .hiring import Hiring
 from .inventory import Inventory
 from .leadership import Leadership
 from .pool import Pool
+from .share_balancer import ShareBalancer
 from .spare_capacity import SpareCapacity
 from .transfers import MachineTransfers
 
-LOAD_EVERY_S = 0.25
+LOAD_EVERY_S = 0.25  # between two load reports to the leader
 PLAN_EVERY_S = 0.5
-TIDY_EVERY_S = 30.0
-NEVER_UP_PAUSE_S = 10.0  # a place is left alone whose machine did not come up
-RETURN_AGAIN_S = 3.0  # between two requests to return the same machine
+PRUNE_EVERY_S = 30.0
+FAILED_BOOT_PAUSE_S = 10.0  # minimum pause of an offering whose machine did not come up
+RETURN_RETRY_S = 3.0  # between two requests to return the same machine
 
-ExpectedMachines = dict[Place, float]  # machines on their way
+ExpectedMachines = dict[Offering, float]  # machines that are expected to come up
 
 
 class Rental:
-    """Plans for the whole fleet while this node leads, and tells the leader of its shares."""
+    """Plans for the whole fleet while this node leads, and reports its shares to the leader."""
 
     def __init__(
         self,
@@ -90,63 +99,64 @@
             context, store, self.leadership, fleet, self.adoption, self.boot_times, self.pool
         )
         self.transfers = MachineTransfers(context, store, shares, fleet, scheduler)
-        self.balance = Balance(
+        self.balancer = ShareBalancer(
             context, shares, fleet, self.loads, self.transfers, self.pool, versions
         )
-        self.spare = SpareCapacity(context, shares, fleet, self.loads, self.transfers)
+        self.spare_capacity = SpareCapacity(context, shares, fleet, self.loads, self.transfers)
         self.versions = versions
         self._pages: dict[ShareNo, LoadPages] = {}  # of the shares owned here
-        self._plan_at = LONG_AGO
-        self._load_at = LONG_AGO
-        self._tidied_at = context.now
-        self._led_since: Instant | None = None
+        self._last_plan_at = LONG_AGO
+        self._last_load_at = LONG_AGO
+        self._last_prune_at = context.now
+        self._leading_since: Instant | None = None
 
-    # --- time ----------------------------------------------------------------------------
+    # --- periodic work -------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Tell the leader of the shares owned here; lead, if this node does."""
+        """Reports the shares owned here to the leader, and plans if this node leads."""
         now = self.context.now
         if not self.store.ready:
             return
-        if now >= self._load_at + LOAD_EVERY_S:
-            self._load_at = now
+        if now >= self._last_load_at + LOAD_EVERY_S:
+            self._last_load_at = now
             self._report_loads()
             self.transfers.tick()
         self.leadership.claim()
         if not self.leadership.leading:
-            self._led_since = None
+            self._leading_since = None
             self.view.end()
             self.entitlements.end()
             return
-        if self._led_since is None:
+        if self._leading_since is None:
             self._begin()
         self.catalogue.tick()
         self.inventory.tick()
-        if now >= self._plan_at + PLAN_EVERY_S and self.fleet.types:
-            self._plan_at = now
+        if now >= self._last_plan_at + PLAN_EVERY_S and self.fleet.types:
+            self._last_plan_at = now
             self.inventory.release_leaving()
             self._plan()
 
     def _begin(self) -> None:
-        """Leadership begins: what an earlier one saw is old."""
-        self._led_since = self.context.now
-        self.spare.begin()
+        """Starts anew when leadership begins; an earlier leadership's state is outdated."""
+        self._leading_since = self.context.now
+        self.spare_capacity.begin()
         self.inventory.begin()
         self.boot_times.clear()
         self.view.begin()
         self.entitlements.begin(self.context.now)
         self.context.log("info", "leading")
 
-    # --- what owners tell the leader -----------------------------------------------------
+    # --- load reports --------------------------------------------------------------------
 
     def _report_loads(self) -> None:
         leader = self.leadership.leader()
-        pages = self._pages = {
+        pages_by_share = self._pages = {
             s: self._pages.get(s) or LoadPages(self.fleet, s) for s in self.shares.owned
         }
+        # A leader of a former version needs all machines in one message.
         whole = leader is not None and not self.versions.reads(Member(leader), LOADS_IN_PAGES)
-        for share, page in pages.items():
-            machines = page.all() if whole else page.next()
+        for share, pages in pages_by_share.items():
+            machines = pages.all() if whole else pages.next()
             message = share_load(
                 self.context,
                 share,
@@ -161,7 +171,7 @@
                 self.context.emit(SendToPeer(Member(leader), message))
 
     def handle_share_load(self, message: ShareLoad) -> None:
-        """The owner of a share tells of it."""
+        """Handles a load report of a share's owner."""
         self.loads[message.share] = LoadReport(message, self.context.now)
         self.view.note_load(message)
 
@@ -170,25 +180,28 @@
     def _plan(self) -> None:
         now = self.context.now
         self.inventory.largest_fleet = max(self.inventory.largest_fleet, len(self.fleet.records))
-        cpus = self.adoption.parts().cpus
-        booting = self._expected()
-        self._count_expected(booting)
-        idle = self.view.idle()
+        cpus = self.adoption.allocation().cpus
+        expected = self._expected_machines()
+        self._add_pending(expected)
+        idle = self.view.idle_machines()
         unmet: dict[ShareNo, list[Demand]] = {}
         for share in self.shares.all():
             load = self.loads.get(share)
             if load is not None and now - load.at < LOAD_VALID_S:
-                unmet[share] = self._deduct_expected(load.demands, booting[share])
+                unmet[share] = self._deduct_expected(load.demands, expected[share])
         self.pool.observe(unmet)
-        self.balance.move_idle(unmet, idle)
+        self.balancer.request_transfers(unmet, idle)
         self.hiring.hire_for(unmet)
-        self.balance.vacate_for(unmet)
-        self.balance.balance(cpus)
-        self._tidy()
-        self.spare.keep(idle, cpus)
+        self.balancer.request_vacates(unmet)
+        self.balancer.request_yields(cpus)
+        self._prune()
+        self.spare_capacity.return_surplus(idle, cpus)
 
-    def _expected(self) -> dict[ShareNo, ExpectedMachines]:
-        """Machines on their way, by share and place; those that never come are given up."""
+    def _expected_machines(self) -> dict[ShareNo, ExpectedMachines]:
+        """Returns the machines that are coming up, by share and offering.
+
+        Machines that don't come up within their limit are given up.
+        """
         now = self.context.now
         found: dict[ShareNo, ExpectedMachines] = {s: {} for s in self.shares.all()}
         for id, expected in list(self.view.expected.items()):
@@ -198,81 +211,93 @@
                 continue
             waited = now - expected.since
             if waited < self.boot_times.overdue_after_s(type_):
-                place = (record.type, record.zone, record.spot)
-                there = found[record.share]
-                there[place] = there.get(place, 0.0) + 1.0
-            elif expected.told and waited >= self.boot_times.give_up_after_s(type_):
+                offering = (record.type, record.zone, record.spot)
+                of_share = found[record.share]
+                of_share[offering] = of_share.get(offering, 0.0) + 1.0
+            elif expected.confirmed and waited >= self.boot_times.give_up_after_s(type_):
                 self._give_up(id, record, type_)
         return found
 
     def _give_up(self, id: MachineId, record: Record, type_: MachineType) -> None:
-        """It never came up, or much too late: it is returned, and replaced elsewhere."""
+        """Returns a machine that did not come up, or much too late, to replace it elsewhere."""
         self.context.log("info", f"machine {id} did not come up, returned")
-        self.hiring.note_refusal((record.type, record.zone, record.spot), NEVER_UP_PAUSE_S)
-        self.transfers.ask_owner(record.share, ReturnMachine(id))
-        again = Instant(self.context.now - self.boot_times.give_up_after_s(type_) + RETURN_AGAIN_S)
-        self.view.expect_again(id, again)
+        self.hiring.note_refusal((record.type, record.zone, record.spot), FAILED_BOOT_PAUSE_S)
+        self.transfers.send_to_owner(record.share, ReturnMachine(id))
+        # Backdated so that the request is repeated after the retry interval.
+        since = Instant(self.context.now - self.boot_times.give_up_after_s(type_) + RETURN_RETRY_S)
+        self.view.restart_wait(id, since)
         self.boot_times.forget(id)
 
-    def _count_expected(self, booting: dict[ShareNo, ExpectedMachines]) -> None:
-        """What is being hired or recorded counts as on its way, or it would be hired again."""
+    def _add_pending(self, expected: dict[ShareNo, ExpectedMachines]) -> None:
+        """Adds machines that are being hired or recorded, so that they are not hired twice."""
         for group, number in self.adoption.pending_groups().counts().items():
-            there = booting[group.share]
-            place = (group.type, group.zone, group.spot)
-            there[place] = there.get(place, 0.0) + number
-        for share, place in self.hiring.pending():
-            booting[share][place] = booting[share].get(place, 0.0) + 1.0
+            of_share = expected[group.share]
+            offering = (group.type, group.zone, group.spot)
+            of_share[offering] = of_share.get(offering, 0.0) + number
+        for share, offering in self.hiring.open_hires():
+            expected[share][offering] = expected[share].get(offering, 0.0) + 1.0
 
-    def _tidy(self) -> None:
-        if self.context.now < self._tidied_at + TIDY_EVERY_S:
+    def _prune(self) -> None:
+        if self.context.now < self._last_prune_at + PRUNE_EVERY_S:
             return
-        self._tidied_at = self.context.now
-        self.inventory.tidy()
-        self.boot_times.tidy()
+        self._last_prune_at = self.context.now
+        self.inventory.prune()
+        self.boot_times.prune()
+
+    def _deduct_expected(
+        self, demands: list[Demand], expected: dict[Offering, float]
+    ) -> list[Demand]:
+        """Sets the count of each demand to what the expected machines of its share will not meet.
 
-    def _deduct_expected(self, needs: list[Demand], booting: dict[Place, float]) -> list[Demand]:
-        """Needs that the machines on their way will not meet, taken by their number: which
-        task will go to which of them is not decided here."""
-        left = dict(booting)
-        for need in needs:
-            need.count, need.zone = need.hire, need.entry.zone
-            if need.block:
-                self._leave_block(need, left)
+        Only numbers of tasks are compared; which task goes to which machine is not decided here.
+        """
+        left = dict(expected)
+        for demand in demands:
+            demand.count, demand.zone = demand.hire, demand.entry.zone
+            if demand.block:
+                self._deduct_for_gang(demand, left)
                 continue
-            for place, machines in left.items():
-                if machines <= 0 or not serves(need, *place):
+            for offering, machines in left.items():
+                if machines <= 0 or not accepts(demand, *offering):
                     continue
-                each = fits_times(need.size, self.fleet.types[place[0]].size)
-                if each and need.count > 0:
-                    n = min(need.count, math.floor(machines * each + 1e-6))
-                    need.count -= n
-                    left[place] = machines - n / each
-        return needs
+                each = fits_times(demand.size, self.fleet.types[offering[0]].size)
+                if each and demand.count > 0:
+                    tasks = min(demand.count, math.floor(machines * each + COUNT_ROUNDING))
+                    demand.count -= tasks
+                    left[offering] = machines - tasks / each
+        return demands
+
+    def _deduct_for_gang(self, demand: Demand, left: dict[Offering, float]) -> None:
+        """Deducts the room free and expected in one zone from a gang's demand, by zone.
 
-    def _leave_block(self, need: Demand, left: dict[Place, float]) -> None:
-        """A gang's need is met in one zone, by what is free there and what comes up there."""
+        If one zone meets all of it, the machines it needs there are taken from `left`.
+        """
         zones = {
             zone
             for type_ in self.fleet.types.values()
             for zone in type_.zones or self.context.platform.settings.zones
         }
-        need.missing_by_zone = {
-            zone: need.hire - need.room.get(zone, 0)
+        demand.missing_by_zone = {
+            zone: demand.hire - demand.room.get(zone, 0)
             for zone in sorted(zones)
-            if zone not in need.shut and need.zone in (None, zone)
+            if zone not in demand.closed_zones and demand.zone in (None, zone)
         }
-        for place, machines in left.items():
-            if machines > 0 and place[1] in need.missing_by_zone and serves(need, *place):
-                each = fits_times(need.size, self.fleet.types[place[0]].size)
-                need.missing_by_zone[place[1]] -= math.floor(machines * each + 1e-6)
-        zone = min(need.missing_by_zone, key=lambda z: need.missing_by_zone[z], default=None)
-        if zone is None or need.missing_by_zone[zone] > 0:
+        for offering, machines in left.items():
+            if (
+                machines > 0
+                and offering[1] in demand.missing_by_zone
+                and accepts(demand, *offering)
+            ):
+                each = fits_times(demand.size, self.fleet.types[offering[0]].size)
+                demand.missing_by_zone[offering[1]] -= math.floor(machines * each + COUNT_ROUNDING)
+        zone = min(demand.missing_by_zone, key=lambda z: demand.missing_by_zone[z], default=None)
+        if zone is None or demand.missing_by_zone[zone] > 0:
             return
-        wanted = need.hire - need.room.get(zone, 0)
-        need.count = 0
-        for place, machines in left.items():
-            each = fits_times(need.size, self.fleet.types[place[0]].size)
-            if place[1] == zone and each and wanted > 0 and serves(need, *place):
-                n = min(wanted, math.floor(machines * each + 1e-6))
-                wanted -= n
-                left[place] = machines - n / each
+        wanted = demand.hire - demand.room.get(zone, 0)
+        demand.count = 0
+        for offering, machines in left.items():
+            each = fits_times(demand.size, self.fleet.types[offering[0]].size)
+            if offering[1] == zone and each and wanted > 0 and accepts(demand, *offering):
+                tasks = min(wanted, math.floor(machines * each + COUNT_ROUNDING))
+                wanted -= tasks
+                left[offering] = machines - tasks / each
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -1,4 +1,4 @@
-"""The parting of machines among the shares, which the leader asks their owners for."""
+"""The leader's requests to owners to hand machines over to shares that need them more."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 from ..placement import fits_times
 from ..shares import Shares
 from ..versions import DIVISIONS, Versions
-from .demand import LOAD_VALID_S, Demand, LoadReport, serves
+from .demand import LOAD_VALID_S, Demand, LoadReport, accepts
 from .fleet_view import IdleMachines
 from .pool import Pool
 from .transfers import VACATE_TIMEOUT_S, MachineTransfers
 
-VACATE_AFTER_S = 2.0  # work that cheap machines can't take waits so long for an empty one
-VACATE_EVERY_S = 1.0  # between two rounds of such requests
-MACHINES_PER_VACATE = 1_000  # of the fleet, for each request in a round beyond the first
-BALANCE_EVERY_S = 2.0
-UNEVEN = 1.5  # by how much more a share must ask for its CPUs before another yields some
+MIN_IDLE_S = 1.0  # a machine is transferred only after being empty this long
+VACATE_AFTER_S = 2.0  # tasks that may not use spot machines wait this long for an empty machine
+VACATE_EVERY_S = 1.0  # between two rounds of vacate requests
+MACHINES_PER_VACATE = 1_000  # recorded machines for each request in a round beyond the first
+YIELD_EVERY_S = 2.0  # between two rounds of yield requests
+YIELD_IMBALANCE_FACTOR = 1.5  # between the demand per CPU of two shares, for one to yield
 
 
-class Balance:
-    """The leader's requests to owners for machines that other shares need more."""
+class ShareBalancer:
+    """Asks owners to transfer, vacate or yield machines that other shares need more."""
 
     def __init__(
         self,
@@ -47,176 +48,214 @@
         self.pool = pool
         self.policy = pool.policy
         self.versions = versions
-        self._vacate_at = context.now
-        self._balance_at = context.now
-        self._vacating: deque[tuple[Instant, ShareNo]] = deque()  # asked, and for which share
-        self._turn = 0  # of the needs that owners are told
+        self._next_vacate_at = context.now
+        self._next_yield_at = context.now
+        # Vacate requests for other organisations: when each was sent, and for which share.
+        self._vacate_requests: deque[tuple[Instant, ShareNo]] = deque()
+        self._demand_index = 0  # selects in turn which demand of a share is sent to owners
 
-    def move_idle(
+    def request_transfers(
         self,
         unmet: dict[ShareNo, list[Demand]],
         idle: IdleMachines,
     ) -> None:
-        """Empty machines go towards shares with waiting tasks."""
-        for share, needs in unmet.items():
-            for need in needs:
+        """Asks owners to transfer empty machines to shares with waiting tasks."""
+        for share, demands in unmet.items():
+            for demand in demands:
                 others = [
                     s
                     for s in self.shares.all()
-                    if s != share and (self.policy.in_force or self._unused(s, unmet))
+                    if s != share and (self.policy.in_force or self._has_no_demand(s, unmet))
                 ]
-                if need.block and need.count > 0 and not self._one_zone(need, others, idle):
+                if (
+                    demand.block
+                    and demand.count > 0
+                    and not self._restrict_to_zone(demand, others, idle)
+                ):
                     continue
                 for other in others:
                     for entry in list(idle.get(other, ())):
                         seconds, id, record = entry
                         type_ = self.fleet.types[record.type]
-                        n = fits_times(need.size, type_.size)
-                        if need.count <= 0 or seconds < 1.0:
+                        tasks = fits_times(demand.size, type_.size)
+                        if demand.count <= 0 or seconds < MIN_IDLE_S:
                             break
-                        place = (record.type, record.zone, record.spot)
+                        offering = (record.type, record.zone, record.spot)
                         if (
-                            n
-                            and serves(need, *place)
-                            and self._may_move(other, share, record, unmet)
+                            tasks
+                            and accepts(demand, *offering)
+                            and self._may_transfer(other, share, record, unmet)
                         ):
-                            need.count -= n
+                            demand.count -= tasks
                             idle[other].remove(entry)
                             self.policy.transferred(other, share, type_.cpus)
-                            self.transfers.ask_owner(other, TransferMachine(id, share))
+                            self.transfers.send_to_owner(other, TransferMachine(id, share))
 
-    def _unused(self, share: ShareNo, unmet: dict[ShareNo, list[Demand]]) -> bool:
-        return not any(n.count > 0 for n in unmet.get(share, ()))
+    def _has_no_demand(self, share: ShareNo, unmet: dict[ShareNo, list[Demand]]) -> bool:
+        return not any(d.count > 0 for d in unmet.get(share, ()))
 
-    def _owing(self, giver: ShareNo, taker: ShareNo, coming: float = 0.0) -> bool:
-        """Is one short of its target, while the other holds more than its own?"""
+    def _owes(self, giver: ShareNo, taker: ShareNo, incoming_cpus: float = 0.0) -> bool:
+        """Returns whether the taker's organisation is short of its target while the giver's
+        exceeds its own."""
         return (
             self.policy.in_force
             and not self.policy.same(giver, taker)
-            and self.policy.short(taker, coming)
+            and self.policy.short(taker, incoming_cpus)
             and self.policy.exceeds(giver)
         )
 
-    def _may_move(
+    def _may_transfer(
         self, giver: ShareNo, taker: ShareNo, record: Record, unmet: dict[ShareNo, list[Demand]]
     ) -> bool:
-        """What its holder has no use for is lent to whoever asks, to those short of their target
-        first; the rest goes only as far as it is owed."""
-        if not self._of_use(giver, record, unmet):
+        """Returns whether the machine may be transferred from the giver to the taker.
+
+        A machine that the giver's waiting tasks can't use is lent to any share, first to those
+        short of their target. Any other machine is transferred only as far as it is owed.
+        """
+        if not self._has_demand_for(giver, record, unmet):
             return not self.pool.must_wait(taker, record.type, record.zone, record.spot)
         return self.policy.may_take(giver, taker, self.fleet.types[record.type].cpus)
 
-    def _of_use(self, share: ShareNo, record: Record, unmet: dict[ShareNo, list[Demand]]) -> bool:
-        """Could anything that waits in the share run on the machine?"""
+    def _has_demand_for(
+        self, share: ShareNo, record: Record, unmet: dict[ShareNo, list[Demand]]
+    ) -> bool:
+        """Returns whether any waiting task of the share could run on the machine."""
         size = self.fleet.types[record.type].size
         return any(
-            need.count > 0
-            and serves(need, record.type, record.zone, record.spot)
-            and fits_times(need.size, size) > 0
-            for need in unmet.get(share, ())
+            demand.count > 0
+            and accepts(demand, record.type, record.zone, record.spot)
+            and fits_times(demand.size, size) > 0
+            for demand in unmet.get(share, ())
         )
 
-    def _one_zone(
+    def _restrict_to_zone(
         self,
-        need: Demand,
+        demand: Demand,
         others: list[ShareNo],
         idle: IdleMachines,
     ) -> bool:
-        """Is there a zone with empty machines for all that it lacks? Then only those are moved."""
-        room: dict[str, int] = {}
+        """Restricts the demand of a gang to a zone whose empty machines meet all of it.
+
+        Returns whether there is such a zone; without one no machine is transferred.
+        """
+        room_by_zone: dict[str, int] = {}
         for other in others:
             for seconds, _, record in idle.get(other, ()):
-                if seconds >= 1.0 and serves(need, record.type, record.zone, record.spot):
-                    n = fits_times(need.size, self.fleet.types[record.type].size)
-                    room[record.zone] = room.get(record.zone, 0) + n
-        enough = [zone for zone in room if room[zone] >= need.missing_by_zone.get(zone, need.hire)]
-        if not enough:
+                if seconds >= MIN_IDLE_S and accepts(demand, record.type, record.zone, record.spot):
+                    tasks = fits_times(demand.size, self.fleet.types[record.type].size)
+                    room_by_zone[record.zone] = room_by_zone.get(record.zone, 0) + tasks
+        sufficient = [
+            zone
+            for zone in room_by_zone
+            if room_by_zone[zone] >= demand.missing_by_zone.get(zone, demand.hire)
+        ]
+        if not sufficient:
             return False
-        need.zone = min(enough, key=lambda z: (need.missing_by_zone.get(z, need.hire), z))
-        need.count = need.missing_by_zone.get(need.zone, need.hire)
+        demand.zone = min(sufficient, key=lambda z: (demand.missing_by_zone.get(z, demand.hire), z))
+        demand.count = demand.missing_by_zone.get(demand.zone, demand.hire)
         return True
 
-    def vacate_for(self, unmet: dict[ShareNo, list[Demand]]) -> None:
-        """Lesser work elsewhere makes way for what cheap machines can't take: within a share
-        the scheduler stops it, but what is busy in another share never falls empty by itself
-        while arrays wait there."""
+    def request_vacates(self, unmet: dict[ShareNo, list[Demand]]) -> None:
+        """Asks owners to stop lower-ranked work for tasks that may not use spot machines.
+
+        Within a share the scheduler preempts such work. A busy machine of another share never
+        falls empty by itself while arrays wait there.
+        """
         now = self.context.now
-        if now < self._vacate_at:
+        if now < self._next_vacate_at:
             return
         waiting = sorted(
             (
-                (need.rank, -need.age, share, need)
-                for share, needs in unmet.items()
-                for need in needs
-                if need.asked > 0
-                and not need.spot
-                and need.age >= VACATE_AFTER_S
-                and self._one_machine(need)
+                (demand.rank, -demand.age, share, demand)
+                for share, demands in unmet.items()
+                for demand in demands
+                if demand.waiting > 0
+                and not demand.spot
+                and demand.age >= VACATE_AFTER_S
+                and self._one_machine_helps(demand)
             ),
             key=lambda w: w[:3],
         )
-        left = 1 + len(self.fleet.records) // MACHINES_PER_VACATE
-        for _, _, share, need in waiting:
+        requests_left = 1 + len(self.fleet.records) // MACHINES_PER_VACATE
+        for _, _, share, demand in waiting:
             others = sorted(
                 {
                     group.share
                     for group in self.fleet.groups.counts()
                     if group.share != share
                     and not group.leaving
-                    and serves(need, group.type, group.zone, group.spot)
+                    and accepts(demand, group.type, group.zone, group.spot)
                     and self._may_vacate(group.share, share)
                 }
             )
             if others:
-                self._vacate_at = Instant(now + VACATE_EVERY_S)
+                self._next_vacate_at = Instant(now + VACATE_EVERY_S)
                 other = self.context.rng.choice(others)
                 entitled = not self.policy.same(other, share)
                 if entitled:
-                    self._vacating.append((now, share))
-                self.transfers.ask_owner(other, VacateMachine(other, share, need.entry, entitled))
-                left -= 1
-                if not left:
+                    self._vacate_requests.append((now, share))
+                self.transfers.send_to_owner(
+                    other, VacateMachine(other, share, demand.entry, entitled)
+                )
+                requests_left -= 1
+                if not requests_left:
                     return
 
     def _may_vacate(self, giver: ShareNo, taker: ShareNo) -> bool:
-        """Between organisations only what is owed, and never by an owner of a former version: it
-        would stop replicas too."""
+        """Returns whether the giver may be asked to stop work for the taker.
+
+        Between organisations only owed machines are vacated, and never by an owner of a former
+        version, which would stop replicas too.
+        """
         if self.policy.same(giver, taker):
             return True
         owner = self.shares.living_owner(giver)
         return (
             owner is not None
             and self.versions.reads(owner, DIVISIONS)
-            and self._owing(giver, taker, self._coming(taker))
+            and self._owes(giver, taker, self._incoming_cpus(taker))
         )
 
-    def _coming(self, taker: ShareNo) -> float:
-        """CPUs that owners were asked lately to empty for the taker's organisation: until they are
-        there no more work is stopped for the same need."""
-        while self._vacating and self.context.now > self._vacating[0][0] + VACATE_TIMEOUT_S:
-            self._vacating.popleft()
-        return self.pool.machine_size * sum(self.policy.same(to, taker) for _, to in self._vacating)
+    def _incoming_cpus(self, taker: ShareNo) -> float:
+        """Returns the CPUs that owners were recently asked to vacate for the taker's organisation.
 
-    def _one_machine(self, need: Demand) -> bool:
-        """Would one machine, emptied, be of use?"""
-        return not need.block or any(
-            fits_times(need.size, t.size) >= need.asked for t in self.fleet.types.values()
+        They count as held, so that no more work is stopped for the same demand meanwhile.
+        """
+        while (
+            self._vacate_requests
+            and self.context.now > self._vacate_requests[0][0] + VACATE_TIMEOUT_S
+        ):
+            self._vacate_requests.popleft()
+        return self.pool.largest_machine_cpus * sum(
+            self.policy.same(to, taker) for _, to in self._vacate_requests
         )
 
-    def balance(self, cpus: dict[ShareNo, float]) -> None:
-        """Machines in use go, as they fall empty, to shares that are owed more; then to those
-        that need them most among the shares of one organisation."""
+    def _one_machine_helps(self, demand: Demand) -> bool:
+        """Returns whether one vacated machine would let waiting tasks start.
+
+        A gang bound to one zone needs a machine that holds all of its tasks.
+        """
+        return not demand.block or any(
+            fits_times(demand.size, t.size) >= demand.waiting for t in self.fleet.types.values()
+        )
+
+    def request_yields(self, cpus: dict[ShareNo, float]) -> None:
+        """Asks owners to hand over machines in use as they fall empty; `cpus`: of each share.
+
+        Machines that are owed to other organisations are requested first. Among the shares of
+        one organisation they go to the share that needs them most.
+        """
         now = self.context.now
-        if now < self._balance_at:
+        if now < self._next_yield_at:
             return
-        asked = self._ask_for_owed(self.policy.reassignments(now))
-        for group in self._organisations():
-            asked |= self._balance_among({s: cpus[s] for s in group})
-        if asked:
-            self._balance_at = Instant(now + BALANCE_EVERY_S)
+        requested = self._request_owed(self.policy.reassignments(now))
+        for group in self._shares_by_organisation():
+            requested |= self._balance_within({s: cpus[s] for s in group})
+        if requested:
+            self._next_yield_at = Instant(now + YIELD_EVERY_S)
 
-    def _organisations(self) -> list[list[ShareNo]]:
-        """Shares that serve the same organisation; all of them while none are in force."""
+    def _shares_by_organisation(self) -> list[list[ShareNo]]:
+        """Returns the shares grouped by organisation; one group while none are in force."""
         groups: list[list[ShareNo]] = []
         for share in self.shares.all():
             for group in groups:
@@ -227,45 +266,55 @@
                 groups.append([share])
         return groups
 
-    def _balance_among(self, cpus: dict[ShareNo, float]) -> bool:
-        """Shares are sized by what waits and runs. While all of them are short no machine falls
-        empty by itself, so the share that has most for what it asks yields some to the one that
-        has least. Says whether there was anything to balance."""
+    def _balance_within(self, cpus: dict[ShareNo, float]) -> bool:
+        """Asks the share with most CPUs for its demand to yield some to the one with fewest.
+
+        Demand is what waits and runs. While all shares are short no machine falls empty by
+        itself. Returns whether demand exceeded capacity, so that there was something to balance.
+        """
         now = self.context.now
         asked = {
-            s: load.used + sum(n.size.cpus * n.asked for n in load.demands)
+            s: load.used + sum(d.size.cpus * d.waiting for d in load.demands)
             for s, load in self.loads.items()
             if s in cpus and now - load.at < LOAD_VALID_S
         }
         total, capacity = sum(asked.values()), sum(cpus[s] for s in asked)
         if len(asked) < 2 or total <= capacity or capacity <= 0:
             return False
-        lacks = {s: capacity * asked[s] / total - cpus[s] for s in asked}
-        to = max(lacks, key=lambda s: lacks[s])
-        share = min(lacks, key=lambda s: lacks[s])
-        need = max(
-            (n for n in self.loads[to].demands if n.asked > 0),
-            key=lambda n: n.size.cpus * n.asked,
+        deficits = {s: capacity * asked[s] / total - cpus[s] for s in asked}
+        taker = max(deficits, key=lambda s: deficits[s])
+        giver = min(deficits, key=lambda s: deficits[s])
+        demand = max(
+            (d for d in self.loads[taker].demands if d.waiting > 0),
+            key=lambda d: d.size.cpus * d.waiting,
             default=None,
         )
-        if need is not None and asked[to] * cpus[share] >= UNEVEN * asked[share] * cpus[to]:
-            # Half of it: what is asked for changes while machines fall empty.
-            half = min(lacks[to], -lacks[share]) / 2
-            self.transfers.ask_owner(share, YieldMachines(share, to, half, need.entry))
+        if (
+            demand is not None
+            and asked[taker] * cpus[giver] >= YIELD_IMBALANCE_FACTOR * asked[giver] * cpus[taker]
+        ):
+            # Only half of the difference: demand changes while machines fall empty.
+            half = min(deficits[taker], -deficits[giver]) / 2
+            self.transfers.send_to_owner(giver, YieldMachines(giver, taker, half, demand.entry))
         return True
 
-    def _ask_for_owed(self, owed: Sequence[Reassignment]) -> bool:
-        """Ask for machines of use to one of the needs of each taker, in turn: what givers have
-        may fit a small one only. No more than the need is asked for of all of them."""
-        self._turn += 1
-        left: dict[ShareNo, float] = {}
+    def _request_owed(self, owed: Sequence[Reassignment]) -> bool:
+        """Asks givers to yield machines for one demand of each taker, a different one each round.
+
+        The demands take turns because the machines of the givers may fit a small one only. All
+        givers together are asked for no more CPUs than the demand needs.
+        """
+        self._demand_index += 1
+        cpus_left: dict[ShareNo, float] = {}
         for giver, taker, cpus in owed:
-            needs = [n for n in self.loads[taker].demands if self.pool.machine_cpus(n) > 0]
-            if not needs:
+            demands = [d for d in self.loads[taker].demands if self.pool.machine_cpus(d) > 0]
+            if not demands:
                 continue
-            need = needs[self._turn % len(needs)]
-            most = min(cpus, left.setdefault(taker, self.pool.machine_cpus(need)))
-            if most > 0:
-                left[taker] -= most
-                self.transfers.ask_owner(giver, YieldMachines(giver, taker, most, need.entry, True))
-        return bool(left)
+            demand = demands[self._demand_index % len(demands)]
+            requested = min(cpus, cpus_left.setdefault(taker, self.pool.machine_cpus(demand)))
+            if requested > 0:
+                cpus_left[taker] -= requested
+                self.transfers.send_to_owner(
+                    giver, YieldMachines(giver, taker, requested, demand.entry, True)
+                )
+        return bool(cpus_left)
--- a/runcourse/core/leader/spare_capacity.py
+++ b/runcourse/core/leader/spare_capacity.py
@@ -1,4 +1,4 @@
-"""What is returned, and what is kept although nothing runs on it."""
+"""Spare capacity: which empty machines are returned, and which are kept."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from .inventory import MAX_RELEASE
 from .transfers import MachineTransfers
 
-SUM_EVERY_S = 30.0  # between two log lines on the whole fleet
-LEAST_PAID_S = 60.0  # a machine is paid for so long at the least
-IDLE_BOOT_PART = 0.5  # of its boot time that a machine stays empty at the least
-MOST_IDLE_S = 45.0
+FLEET_LOG_EVERY_S = 30.0  # between two log lines on the whole fleet
+MIN_PAID_S = 60.0  # a machine is paid for this long even if it is returned earlier
+IDLE_BOOT_FRACTION = 0.5  # of its boot time that a machine stays empty at the least
+MAX_IDLE_S = 45.0
 DRAIN_EVERY_S = 4.0
-DRAIN_SURPLUS = 1.5  # in machines of the largest type, from which on some are emptied
-DRAIN_SLACK = 1.25  # the same, in the share that empties one
-DRAIN_PART = 1 / 8  # of the surplus, emptied at once: one by one, a large one would last
+DRAIN_SURPLUS = 1.5  # surplus that triggers draining, in machines of the largest type
+DRAIN_SLACK = 1.25  # unused capacity of the share that drains, in the same unit
+DRAIN_FRACTION = 1 / 8  # of the surplus, drained at once: one by one takes too long if it is large
 
 
 class SpareCapacity:
-    """Returns machines that stay empty, and has some emptied when all are in use a little."""
+    """Returns machines that stay empty, and drains some when all are only partly used."""
 
     def __init__(
         self,
@@ -41,70 +41,79 @@
         self.fleet = fleet
         self.loads = loads
         self.transfers = transfers
-        self._peaks: deque[tuple[Instant, float]] = deque()
-        self._drain_at = context.now
-        self._summed_at = context.now
+        self._demand_samples: deque[tuple[Instant, float]] = deque()  # CPUs, within the peak window
+        self._next_drain_at = context.now
+        self._last_log_at = context.now
 
     def begin(self) -> None:
-        """Leadership begins: earlier peaks are not known."""
-        self._peaks.clear()
+        """Starts anew when leadership begins; earlier demand is not known."""
+        self._demand_samples.clear()
 
-    def keep(self, idle: IdleMachines, cpus: dict[ShareNo, float]) -> None:
-        """Return what stays empty, beyond what was in use at once lately and a spare part;
-        `cpus`: of each share's machines."""
-        keep = self._demand_peak()
+    def return_surplus(self, idle: IdleMachines, cpus: dict[ShareNo, float]) -> None:
+        """Returns machines that stay empty beyond the recent peak of demand plus headroom.
+
+        `cpus` holds the capacity of each share and is reduced by what is returned. If no machine
+        is empty, some may be drained.
+        """
+        keep = self._peak_demand_cpus()
         capacity = sum(cpus.values())
-        if self.context.now >= self._summed_at + SUM_EVERY_S:
-            self._summed_at = self.context.now
-            self._log_sum(idle, capacity, keep)
+        if self.context.now >= self._last_log_at + FLEET_LOG_EVERY_S:
+            self._last_log_at = self.context.now
+            self._log_fleet(idle, capacity, keep)
         largest = self._largest_tasks() if any(idle.values()) else {}
         for share in self.shares.all():
-            asked = 0
+            requested = 0
             for machine in sorted(idle.get(share, ()), key=lambda i: (i.record.spot, -i.seconds)):
-                if asked >= MAX_RELEASE:
-                    break  # the cloud takes no more at once; the rest is asked for again
+                if requested >= MAX_RELEASE:
+                    break  # the cloud takes no more in one request; the rest follows in later plans
                 type_ = self.fleet.types[machine.record.type]
                 left = cpus[share] - self._used(share) - type_.cpus
                 if (
-                    machine.seconds > self._idle_limit(type_)
+                    machine.seconds > self._idle_limit_s(type_)
                     and capacity - type_.cpus >= keep
                     and left >= largest.get(share, 0.0)
                 ):
                     capacity -= type_.cpus
                     cpus[share] -= type_.cpus
-                    asked += 1
-                    self.transfers.ask_owner(share, ReturnMachine(machine.id))
-        if self.context.now >= self._drain_at and not any(idle.values()):
+                    requested += 1
+                    self.transfers.send_to_owner(share, ReturnMachine(machine.id))
+        if self.context.now >= self._next_drain_at and not any(idle.values()):
             self._drain(capacity, keep, cpus)
 
-    def _demand_peak(self) -> float:
-        """The most CPUs that were asked for at once lately, with the headroom set by operators."""
+    def _peak_demand_cpus(self) -> float:
+        """Returns the highest demand within the peak window, times the operators' headroom."""
         now = self.context.now
-        self._peaks.append((now, self._demand()))
-        while self._peaks and self._peaks[0][0] < now - self.context.operators.peak_window:
-            self._peaks.popleft()
-        return max(d for _, d in self._peaks) * self.context.operators.headroom
-
-    def _demand(self) -> float:
+        self._demand_samples.append((now, self._demand_cpus()))
+        while (
+            self._demand_samples
+            and self._demand_samples[0][0] < now - self.context.operators.peak_window
+        ):
+            self._demand_samples.popleft()
+        return max(d for _, d in self._demand_samples) * self.context.operators.headroom
+
+    def _demand_cpus(self) -> float:
         return sum(
-            load.used + sum(n.size.cpus * n.count for n in load.demands)
+            load.used + sum(d.size.cpus * d.count for d in load.demands)
             for load in self.loads.values()
         )
 
-    def _idle_limit(self, type_: MachineType) -> float:
-        """How long a machine may be empty: it costs its boot again, and a minute at the least."""
+    def _idle_limit_s(self, type_: MachineType) -> float:
+        """Returns how long a machine may be empty before it is returned.
+
+        Replacing it costs another boot, and a machine is paid for a minimum time anyway.
+        """
         if self.context.operators.idle_return is not None:
             return self.context.operators.idle_return
-        return min(max(LEAST_PAID_S - type_.boot_s, IDLE_BOOT_PART * type_.boot_s), MOST_IDLE_S)
+        return min(max(MIN_PAID_S - type_.boot_s, IDLE_BOOT_FRACTION * type_.boot_s), MAX_IDLE_S)
 
-    def _log_sum(self, idle: IdleMachines, capacity: float, keep: float) -> None:
-        cheap = sum(n for group, n in self.fleet.groups.counts().items() if group.spot)
+    def _log_fleet(self, idle: IdleMachines, capacity: float, keep: float) -> None:
+        spot = sum(n for group, n in self.fleet.groups.counts().items() if group.spot)
         self.context.log(
             "info",
-            f"fleet: {len(self.fleet.records)} machines, {cheap} cheap,"
+            f"fleet: {len(self.fleet.records)} machines, {spot} cheap,"
             f" {sum(map(len, idle.values()))} empty; {capacity:.0f} CPUs,"
             f" {sum(ld.used for ld in self.loads.values()):.0f} used,"
-            f" {self._peaks[-1][1]:.0f} asked, {keep:.0f} kept",
+            f" {self._demand_samples[-1][1]:.0f} asked, {keep:.0f} kept",
         )
 
     def _used(self, share: ShareNo) -> float:
@@ -112,8 +121,11 @@
         return load.used if load else 0.0
 
     def _largest_tasks(self) -> dict[ShareNo, float]:
-        """Room that a share with open jobs keeps: without it, the next replica within its
-        team's guarantee stops another team's."""
+        """Returns the CPUs of the largest open task of each share, which the share keeps free.
+
+        Without that room, the next replica within its team's guarantee would preempt a task of
+        another team.
+        """
         largest: dict[ShareNo, float] = {}
         for team, cpus in self.fleet.jobs.open_tasks():
             share = self.shares.of_team(Team(team))
@@ -121,7 +133,10 @@
         return largest
 
     def _drain(self, capacity: float, keep: float, cpus: dict[ShareNo, float]) -> None:
-        """Nothing is empty, yet there is more than is needed: have a share empty one more."""
+        """Asks the share with most unused capacity to drain machines if capacity is in surplus.
+
+        It is called when no machine is empty.
+        """
         largest = max((t.cpus for t in self.fleet.types.values()), default=0.0)
         if capacity - DRAIN_SURPLUS * largest < keep:
             return
@@ -129,7 +144,6 @@
         if slack:
             share = max(slack, key=lambda s: slack[s])
             if slack[share] > DRAIN_SLACK * largest:
-                self._drain_at = later(self.context.now, DRAIN_EVERY_S)
-                # A large surplus would last for many such steps: an eighth of it at once.
-                number = max(1, int((capacity - keep) / largest * DRAIN_PART))
-                self.transfers.ask_owner(share, DrainMachines(share, number))
+                self._next_drain_at = later(self.context.now, DRAIN_EVERY_S)
+                number = max(1, int((capacity - keep) / largest * DRAIN_FRACTION))
+                self.transfers.send_to_owner(share, DrainMachines(share, number))
