--- a/runcourse/core/entitlement.py
+++ b/runcourse/core/entitlement.py
@@ -89,7 +89,7 @@
     def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[Organisation, float]:
         """Targets in CPUs that the present pool would give under such a division."""
 
-    def short(self, share: ShareNo, coming: float = 0.0) -> bool:
+    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
         """Does the share's organisation ask for more, and hold too little? `coming`: CPUs that
         are on their way to it."""
 
@@ -155,7 +155,7 @@
         """Nothing is known."""
         return {}
 
-    def short(self, share: ShareNo, coming: float = 0.0) -> bool:
+    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
         """Nobody is."""
         return False
 
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -48,7 +48,7 @@
         self._precedent = [
             (share, demand)
             for share, demands in unmet.items()
-            if self.policy.short(share)
+            if self.policy.below_target(share)
             for demand in demands
         ]
 
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -100,7 +100,7 @@
         return (
             self.policy.in_force
             and not self.policy.same(giver, taker)
-            and self.policy.short(taker, incoming_cpus)
+            and self.policy.below_target(taker, incoming_cpus)
             and self.policy.exceeds(giver)
         )
 
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -147,9 +147,9 @@
         """Leadership is over: what was reckoned is old."""
         self._leading = False
 
-    def short(self, share: ShareNo, coming: float = 0.0) -> bool:
+    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
         """Does its organisation ask for more, and hold too little?"""
-        return self.in_force and self.reconciler.short(share, coming)
+        return self.in_force and self.reconciler.below_target(share, coming)
 
     def exceeds(self, share: ShareNo) -> bool:
         """Does its organisation hold all that it is entitled to?"""
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -165,7 +165,7 @@
             return held + self._moved.get(None, 0.0)
         return -self._lacking(name) if name in self.standings else 0.0
 
-    def short(self, share: ShareNo, coming: float = 0.0) -> bool:
+    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
         """Does its organisation ask for more, and lack more than part of a machine?"""
         name = self._serves.get(share)
         least = STOP_PART * self._pool.machine_cpus
@@ -179,7 +179,7 @@
         """The giver's organisation keeps its target, within half of the machine."""
         return (
             not self.same(giver, taker)
-            and self.short(taker)
+            and self.below_target(taker)
             and self._surplus(self._serves.get(giver)) >= cpus / 2 - LEAST_CPUS
         )
 
@@ -215,7 +215,7 @@
         its shares ask for."""
         found = []
         for share in self._pool.shares:
-            if share.asked > 0 and self.short(share.share):
+            if share.asked > 0 and self.below_target(share.share):
                 name = self._serves[share.share]
                 asked = sum(s.asked for s in self._pool.shares if self._serves.get(s.share) == name)
                 found.append((share.share, self._lacking(name) * share.asked / asked))
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -198,7 +198,7 @@
 
 def test_what_is_unused_is_lent_and_what_replicas_hold_is_debt() -> None:
     reconciler = observed(fresh(), (0.0, 0.0), (48.0, 40.0))
-    assert reconciler.standings["a"].lent == 24.0 and not reconciler.short(ShareNo(0))
+    assert reconciler.standings["a"].lent == 24.0 and not reconciler.below_target(ShareNo(0))
     observed(reconciler, (0.0, 400.0), (48.0, 40.0), replicas=30.0)
     standing = reconciler.standings["b"]
     assert (standing.target, standing.surplus, standing.debt) == (24.0, 24.0, 24.0)
