--- a/runcourse/core/entitlement.py
+++ b/runcourse/core/entitlement.py
@@ -99,7 +99,7 @@
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
         """May a machine be asked of an owner that may have use for it itself?"""
 
-    def same(self, one: ShareNo, other: ShareNo) -> bool:
+    def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
         """Do both shares serve the same organisation?"""
 
     def transferred(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
@@ -167,7 +167,7 @@
         """Only what its holder has no use for."""
         return False
 
-    def same(self, one: ShareNo, other: ShareNo) -> bool:
+    def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
         """As if all served one."""
         return True
 
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -105,7 +105,7 @@
             and self.policy.exceeds(share)
             and any(
                 demand.count > 0
-                and not self.policy.same(share, other)
+                and not self.policy.same_organisation(share, other)
                 and accepts(demand, type_, zone, spot)
                 and fits_times(demand.size, self.fleet.types[type_].size) > 0
                 for other, demand in self._precedent
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -99,7 +99,7 @@
         exceeds its own."""
         return (
             self.policy.in_force
-            and not self.policy.same(giver, taker)
+            and not self.policy.same_organisation(giver, taker)
             and self.policy.below_target(taker, incoming_cpus)
             and self.policy.exceeds(giver)
         )
@@ -191,7 +191,7 @@
             if others:
                 self._next_vacate_at = Instant(now + VACATE_EVERY_S)
                 other = self.context.rng.choice(others)
-                entitled = not self.policy.same(other, share)
+                entitled = not self.policy.same_organisation(other, share)
                 if entitled:
                     self._vacate_requests.append((now, share))
                 self.transfers.send_to_owner(
@@ -207,7 +207,7 @@
         Between organisations only owed machines are vacated, and never by an owner of a former
         version, which would stop replicas too.
         """
-        if self.policy.same(giver, taker):
+        if self.policy.same_organisation(giver, taker):
             return True
         owner = self.shares.living_owner(giver)
         return (
@@ -227,7 +227,7 @@
         ):
             self._vacate_requests.popleft()
         return self.pool.largest_machine_cpus * sum(
-            self.policy.same(to, taker) for _, to in self._vacate_requests
+            self.policy.same_organisation(to, taker) for _, to in self._vacate_requests
         )
 
     def _one_machine_helps(self, demand: Demand) -> bool:
@@ -259,7 +259,7 @@
         groups: list[list[ShareNo]] = []
         for share in self.shares.all():
             for group in groups:
-                if self.policy.same(group[0], share):
+                if self.policy.same_organisation(group[0], share):
                     group.append(share)
                     break
             else:
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -159,9 +159,9 @@
         """May a machine be asked of an owner that may have use for it itself?"""
         return self.in_force and self.reconciler.may_take(giver, taker, cpus)
 
-    def same(self, one: ShareNo, other: ShareNo) -> bool:
+    def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
         """Do both shares serve the same organisation?"""
-        return not self.in_force or self.reconciler.same(one, other)
+        return not self.in_force or self.reconciler.same_organisation(one, other)
 
     def transferred(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
         """A machine was asked for in this plan."""
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -178,12 +178,12 @@
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
         """The giver's organisation keeps its target, within half of the machine."""
         return (
-            not self.same(giver, taker)
+            not self.same_organisation(giver, taker)
             and self.below_target(taker)
             and self._surplus(self._serves.get(giver)) >= cpus / 2 - LEAST_CPUS
         )
 
-    def same(self, one: ShareNo, other: ShareNo) -> bool:
+    def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
         """Do both serve the same organisation?"""
         return self._serves.get(one) == self._serves.get(other)
 
