--- a/runcourse/core/entitlement.py
+++ b/runcourse/core/entitlement.py
@@ -93,7 +93,7 @@
         """Does the share's organisation ask for more, and hold too little? `coming`: CPUs that
         are on their way to it."""
 
-    def exceeds(self, share: ShareNo) -> bool:
+    def meets_target(self, share: ShareNo) -> bool:
         """Does the share's organisation hold all that it is entitled to, or more?"""
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
@@ -159,7 +159,7 @@
         """Nobody is."""
         return False
 
-    def exceeds(self, share: ShareNo) -> bool:
+    def meets_target(self, share: ShareNo) -> bool:
         """Nobody does."""
         return False
 
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -102,7 +102,7 @@
         """
         return (
             bool(self._precedent)
-            and self.policy.exceeds(share)
+            and self.policy.meets_target(share)
             and any(
                 demand.count > 0
                 and not self.policy.same_organisation(share, other)
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -101,7 +101,7 @@
             self.policy.in_force
             and not self.policy.same_organisation(giver, taker)
             and self.policy.below_target(taker, incoming_cpus)
-            and self.policy.exceeds(giver)
+            and self.policy.meets_target(giver)
         )
 
     def _may_transfer(
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -151,9 +151,9 @@
         """Does its organisation ask for more, and hold too little?"""
         return self.in_force and self.reconciler.below_target(share, coming)
 
-    def exceeds(self, share: ShareNo) -> bool:
+    def meets_target(self, share: ShareNo) -> bool:
         """Does its organisation hold all that it is entitled to?"""
-        return self.in_force and self.reconciler.exceeds(share)
+        return self.in_force and self.reconciler.meets_target(share)
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
         """May a machine be asked of an owner that may have use for it itself?"""
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -171,7 +171,7 @@
         least = STOP_PART * self._pool.machine_cpus
         return name in self._catching_up and self._lacking(name) - coming >= least
 
-    def exceeds(self, share: ShareNo) -> bool:
+    def meets_target(self, share: ShareNo) -> bool:
         """Does its organisation hold its target or more?"""
         return self._surplus(self._serves.get(share)) >= -LEAST_CPUS
 
