--- a/runcourse/core/entitlement.py
+++ b/runcourse/core/entitlement.py
@@ -102,7 +102,7 @@
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
         """Do both shares serve the same organisation?"""
 
-    def transferred(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
+    def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
         """A machine was asked for in this plan: it counts for the taker until the next."""
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
@@ -171,7 +171,7 @@
         """As if all served one."""
         return True
 
-    def transferred(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
+    def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
         """Nothing depends on it."""
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -88,7 +88,7 @@
                         ):
                             demand.count -= tasks
                             idle[other].remove(entry)
-                            self.policy.transferred(other, share, type_.cpus)
+                            self.policy.transfer_requested(other, share, type_.cpus)
                             self.transfers.send_to_owner(other, TransferMachine(id, share))
 
     def _has_no_demand(self, share: ShareNo, unmet: dict[ShareNo, list[Demand]]) -> bool:
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -163,9 +163,9 @@
         """Do both shares serve the same organisation?"""
         return not self.in_force or self.reconciler.same_organisation(one, other)
 
-    def transferred(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
+    def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
         """A machine was asked for in this plan."""
-        self.reconciler.transferred(giver, taker, cpus)
+        self.reconciler.transfer_requested(giver, taker, cpus)
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
         """What owners are to transfer as it falls empty."""
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -187,7 +187,7 @@
         """Do both serve the same organisation?"""
         return self._serves.get(one) == self._serves.get(other)
 
-    def transferred(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
+    def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
         """A machine was asked for in this plan."""
         for share, change in ((giver, -cpus), (taker, cpus)):
             name = self._serves.get(share)
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -210,7 +210,7 @@
     reconciler = observed(fresh(), (12.0, 40.0), (36.0, 40.0))
     taken = 0
     while taken < 10 and reconciler.may_take(ShareNo(1), ShareNo(0), 4.0):
-        reconciler.transferred(ShareNo(1), ShareNo(0), 4.0)
+        reconciler.transfer_requested(ShareNo(1), ShareNo(0), 4.0)
         taken += 1
     assert taken == 3
 
