--- a/runcourse/core/entitlement.py
+++ b/runcourse/core/entitlement.py
@@ -58,7 +58,7 @@
     def problem(self) -> str:
         """Why the policy is not in force; empty if it is."""
 
-    def founding(self, shares: int) -> list[str]:
+    def initial_team_order(self, shares: int) -> list[str]:
         """Team names in an order that deals one organisation's teams to each share."""
 
     def assign(self, of_team: TeamShares, shares: int) -> None:
@@ -119,7 +119,7 @@
     in_force = False
     problem = "no entitlements file was named when this controller was started"
 
-    def founding(self, shares: int) -> list[str]:
+    def initial_team_order(self, shares: int) -> list[str]:
         """Nothing is known of organisations."""
         return []
 
