--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -62,7 +62,7 @@
     def finished(self, placement: Placement, ran_s: float) -> None:
         """A task completed after running for so long."""
 
-    def gained(self, holding: Holding, now: Instant) -> None:
+    def share_gained(self, holding: Holding, now: Instant) -> None:
         """A share is owned here from now on."""
 
     def lost(self, share: ShareNo) -> None:
@@ -117,7 +117,7 @@
     def finished(self, placement: Placement, ran_s: float) -> None:
         """Nothing is learnt."""
 
-    def gained(self, holding: Holding, now: Instant) -> None:
+    def share_gained(self, holding: Holding, now: Instant) -> None:
         """Nothing depends on it."""
 
     def lost(self, share: ShareNo) -> None:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -140,7 +140,7 @@
 
     def gain(self, holding: Holding) -> None:
         """The share is owned here from now on."""
-        self.policy.gained(holding, self.context.now)
+        self.policy.share_gained(holding, self.context.now)
         for job in self.jobs.open_jobs():
             if self.shares.of_team(Team(job.spec.team)) == holding.number:
                 self._open(job, holding.number)
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -87,9 +87,9 @@
         if placement.job is not None:
             self.tracker.finished(placement.job.spec, placement.machine, ran_s)
 
-    def gained(self, holding: Holding, now: Instant) -> None:
+    def share_gained(self, holding: Holding, now: Instant) -> None:
         """A share is owned here from now on."""
-        self.bounds.gained(holding.number, now)
+        self.bounds.share_gained(holding.number, now)
 
     def lost(self, share: ShareNo) -> None:
         """A share is not owned here any more."""
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -48,7 +48,7 @@
             budget.burst = float(settings.burst)
             budget.level = min(budget.level, budget.burst)
 
-    def gained(self, share: ShareNo, now: Instant) -> None:
+    def share_gained(self, share: ShareNo, now: Instant) -> None:
         """A share is owned here from now on."""
         budget = Bucket(self.settings.moves_per_hour / HOUR_S, float(self.settings.burst))
         budget.level, budget.at = 0.0, now
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -141,14 +141,14 @@
     made = 0
     now = 0.0
     for _ in range(10):  # ten changes of owner in two minutes
-        bounds.gained(SHARE, at(now))
+        bounds.share_gained(SHARE, at(now))
         for _ in range(12):
             now += 1.0
             if bounds.left(SHARE, at(now)) >= 1.0:
                 bounds.moved(TaskId(running(machine()).task.job, made), SHARE, at(now))
                 made += 1
     assert made == 0, "sixty an hour are two in two minutes, and each owner began with none"
-    bounds.gained(SHARE, at(now))
+    bounds.share_gained(SHARE, at(now))
     assert bounds.left(SHARE, at(now + 3600.0)) == 4.0, "no more than the burst is saved up"
 
 
@@ -169,7 +169,7 @@
     bounds = MoveBounds(LocalitySettings(cooldown=100.0, cooldown_most=300.0))
     placement = running(machine())
     placement.machine.share.epoch = 9  # type: ignore[assignment]
-    bounds.gained(SHARE, at(50.0))
+    bounds.share_gained(SHARE, at(50.0))
     assert not bounds.movable(placement, at(349.0))
     assert bounds.movable(placement, at(350.0))
 
