--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -65,7 +65,7 @@
     def share_gained(self, holding: Holding, now: Instant) -> None:
         """A share is owned here from now on."""
 
-    def lost(self, share: ShareNo) -> None:
+    def share_lost(self, share: ShareNo) -> None:
         """A share is not owned here any more."""
 
     def movable(self, placement: Placement, now: Instant) -> bool:
@@ -120,7 +120,7 @@
     def share_gained(self, holding: Holding, now: Instant) -> None:
         """Nothing depends on it."""
 
-    def lost(self, share: ShareNo) -> None:
+    def share_lost(self, share: ShareNo) -> None:
         """Nothing depends on it."""
 
     def movable(self, placement: Placement, now: Instant) -> bool:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -147,7 +147,7 @@
 
     def lose(self, share: ShareNo) -> None:
         """The share is not owned here any more."""
-        self.policy.lost(share)
+        self.policy.share_lost(share)
         for uid in [u for u, w in self.work.items() if w.share == share]:
             del self.work[uid]
             self.finishes.drop(uid)
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -91,9 +91,9 @@
         """A share is owned here from now on."""
         self.bounds.share_gained(holding.number, now)
 
-    def lost(self, share: ShareNo) -> None:
+    def share_lost(self, share: ShareNo) -> None:
         """A share is not owned here any more."""
-        self.bounds.lost(share)
+        self.bounds.share_lost(share)
         self._planned_at.pop(share, None)
 
     # --- moves ---------------------------------------------------------------------------
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -55,7 +55,7 @@
         self._budgets[share] = budget
         self._gained[share] = now
 
-    def lost(self, share: ShareNo) -> None:
+    def share_lost(self, share: ShareNo) -> None:
         """A share is not owned here any more."""
         self._budgets.pop(share, None)
         self._gained.pop(share, None)
