--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -224,7 +224,7 @@
             f" {proposal.gain_s:.0f} s to gain"
         )
         # A dry run keeps to the same bounds, or its log would tell of moves that never could be.
-        self.policy.moved(placement.task, placement.machine.share.number, self.context.now)
+        self.policy.record_move(placement.task, placement.machine.share.number, self.context.now)
         if self.policy.dry_run:
             self.counts["dry run"] += 1
             self.context.log("info", f"would move {text}")
--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -82,7 +82,7 @@
     ) -> MoveProposal | None:
         """The best move among the candidates, if any is worth it."""
 
-    def moved(self, task: TaskId, share: ShareNo, now: Instant) -> None:
+    def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
         """A move of the task was begun: it counts against the bounds, whatever becomes of it."""
 
     def heat_of(self, id: MachineId) -> str:
@@ -141,7 +141,7 @@
         """Nothing is proposed."""
         return None
 
-    def moved(self, task: TaskId, share: ShareNo, now: Instant) -> None:
+    def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
         """Nothing is bounded."""
 
     def heat_of(self, id: MachineId) -> str:
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -121,9 +121,9 @@
         """The best move among the candidates, if any is worth it."""
         return self.rebalancer.propose(candidates, now)
 
-    def moved(self, task: TaskId, share: ShareNo, now: Instant) -> None:
+    def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
         """A move of the task was begun."""
-        self.bounds.moved(task, share, now)
+        self.bounds.record_move(task, share, now)
 
     # --- operators -----------------------------------------------------------------------
 
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -83,7 +83,7 @@
         # Started by an earlier owner, who may have moved it as often as was allowed.
         return now >= later(self._gained.get(holding.number, now), self.settings.cooldown_most)
 
-    def moved(self, task: TaskId, share: ShareNo, now: Instant) -> None:
+    def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
         """A move was begun."""
         budget = self._budgets.get(share)
         if budget is not None:
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -145,7 +145,7 @@
         for _ in range(12):
             now += 1.0
             if bounds.left(SHARE, at(now)) >= 1.0:
-                bounds.moved(TaskId(running(machine()).task.job, made), SHARE, at(now))
+                bounds.record_move(TaskId(running(machine()).task.job, made), SHARE, at(now))
                 made += 1
     assert made == 0, "sixty an hour are two in two minutes, and each owner began with none"
     bounds.share_gained(SHARE, at(now))
@@ -159,7 +159,7 @@
     assert bounds.movable(placement, at(0.0))
     now = 0.0
     for pause in (100.0, 200.0, 300.0, 300.0):
-        bounds.moved(placement.task, SHARE, at(now))
+        bounds.record_move(placement.task, SHARE, at(now))
         assert not bounds.movable(placement, at(now + pause - 1.0))
         now += pause
         assert bounds.movable(placement, at(now))
