--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -181,7 +181,7 @@
                 return False
         elif job.spec.checkpoint_s <= 0 or self._overdue(work):
             return False
-        return self.policy.movable(placement, now)
+        return self.policy.may_move(placement, now)
 
     def _can_spare_one(self, work: Work) -> bool:
         """Are all replicas up, more than one, and none of them being moved?"""
--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -68,7 +68,7 @@
     def share_lost(self, share: ShareNo) -> None:
         """A share is not owned here any more."""
 
-    def movable(self, placement: Placement, now: Instant) -> bool:
+    def may_move(self, placement: Placement, now: Instant) -> bool:
         """May the task be moved, as far as its earlier moves are concerned?"""
 
     def sample_size(self) -> int:
@@ -123,7 +123,7 @@
     def share_lost(self, share: ShareNo) -> None:
         """Nothing depends on it."""
 
-    def movable(self, placement: Placement, now: Instant) -> bool:
+    def may_move(self, placement: Placement, now: Instant) -> bool:
         """Nothing is moved."""
         return False
 
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -98,9 +98,9 @@
 
     # --- moves ---------------------------------------------------------------------------
 
-    def movable(self, placement: Placement, now: Instant) -> bool:
+    def may_move(self, placement: Placement, now: Instant) -> bool:
         """Is the task past its cooldown?"""
-        return self.bounds.movable(placement, now)
+        return self.bounds.may_move(placement, now)
 
     def sample_size(self) -> int:
         """How many machines a plan looks at."""
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -72,7 +72,7 @@
         budget.refill(now)
         return budget.level
 
-    def movable(self, placement: Placement, now: Instant) -> bool:
+    def may_move(self, placement: Placement, now: Instant) -> bool:
         """Is the task past its cooldown?"""
         cooldown = self._cooldowns.get(placement.task)
         if cooldown is not None:
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -156,13 +156,13 @@
     bounds = MoveBounds(LocalitySettings(cooldown=100.0, cooldown_most=300.0))
     placement = running(machine())
     placement.attempt = make_attempt(placement.machine.share.epoch, 1)
-    assert bounds.movable(placement, at(0.0))
+    assert bounds.may_move(placement, at(0.0))
     now = 0.0
     for pause in (100.0, 200.0, 300.0, 300.0):
         bounds.record_move(placement.task, SHARE, at(now))
-        assert not bounds.movable(placement, at(now + pause - 1.0))
+        assert not bounds.may_move(placement, at(now + pause - 1.0))
         now += pause
-        assert bounds.movable(placement, at(now))
+        assert bounds.may_move(placement, at(now))
 
 
 def test_what_an_earlier_owner_started_has_the_longest_cooldown() -> None:
@@ -170,8 +170,8 @@
     placement = running(machine())
     placement.machine.share.epoch = 9  # type: ignore[assignment]
     bounds.share_gained(SHARE, at(50.0))
-    assert not bounds.movable(placement, at(349.0))
-    assert bounds.movable(placement, at(350.0))
+    assert not bounds.may_move(placement, at(349.0))
+    assert bounds.may_move(placement, at(350.0))
 
 
 # --- what is worth a move ----------------------------------------------------------------
