--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -139,12 +139,12 @@
 ) -> Reconciler:
     """Shares 0 of `a` and 1 of `b`, each with CPUs held and asked; all that is held is used."""
     shares = [
-        ShareState(ShareNo(n), held, held, changes.get("replicas", 0.0), asked, True)
-        for n, (held, asked) in enumerate((a, b))
+        ShareState(ShareNo(n), held, held, changes.get("replicas", 0.0), waiting, True)
+        for n, (held, waiting) in enumerate((a, b))
     ]
     stale = changes.get("stale")
     if stale is not None:
-        shares[stale] = shares[stale]._replace(current=False, used=0.0, asked=0.0)
+        shares[stale] = shares[stale]._replace(current=False, used=0.0, waiting=0.0)
     reconciler.observe(PoolState(shares, 4.0), SERVES, LIMITS)
     return reconciler
 
