--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -144,7 +144,7 @@
     ]
     stale = changes.get("stale")
     if stale is not None:
-        shares[stale] = shares[stale]._replace(current=False, used=0.0, waiting=0.0)
+        shares[stale] = shares[stale]._replace(report_valid=False, used=0.0, waiting=0.0)
     reconciler.observe(PoolState(shares, 4.0), SERVES, LIMITS)
     return reconciler
 
