--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -18,7 +18,7 @@
 from .fairshare import Claim, allocate
 
 STOP_PART = 0.5  # of a machine that an organisation lacks when it has caught up
-MOST_DWELL = 8  # times the first dwell time, however often machines go back and forth
+MAX_DWELL_FACTOR = 8  # times the first dwell time, however often machines go back and forth
 FORGET_AFTER = 4  # longest dwell times without a change of direction, after which all is forgotten
 LEAST_CPUS = 1e-6  # less than any machine has
 
@@ -242,7 +242,7 @@
             return True
         pair = frozenset((name, to))
         last = self._directions.get(pair)
-        longest = MOST_DWELL * self.dwell_s
+        longest = MAX_DWELL_FACTOR * self.dwell_s
         if last is None or now > last.at + FORGET_AFTER * longest:
             self._directions[pair] = _Direction(name, now, self.dwell_s)
             return True
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -14,7 +14,7 @@
 from runcourse.entitlements.founding import assign, deal, shares_of
 from runcourse.entitlements.limits import division_fault
 from runcourse.entitlements.policy import Entitlements
-from runcourse.entitlements.reconciler import MOST_DWELL, Reconciler
+from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
 from runcourse.entitlements.settings import EntitlementSettings, Organisation, load_entitlements
 from runcourse.errors import SettingsError
 
@@ -180,7 +180,7 @@
             assert now < began + 60.0
         waited.append(now - began)
     assert waited[:5] == [0.0, 5.0, 10.0, 20.0, 40.0]
-    assert set(waited[5:]) == {5.0 * MOST_DWELL}, "bounded: nobody waits for ever"
+    assert set(waited[5:]) == {5.0 * MAX_DWELL_FACTOR}, "bounded: nobody waits for ever"
 
 
 def test_a_new_leader_starts_from_the_strict_end() -> None:
