--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -105,7 +105,7 @@
         """Reckon targets; says once when they are reached, and once when they can't be."""
         self._pool = pool
         self.reconciler.observe(pool, self._assignment.serves, self._division.limits)
-        self._reached = converged(self.reconciler.standings.values(), pool.machine_cpus)
+        self._reached = converged(self.reconciler.organisation_states.values(), pool.machine_cpus)
         if self._reached:
             self._since = LONG_AGO
             return self._once("is reached")
@@ -127,13 +127,13 @@
             f"{name} {s.held:g} of {s.target:g} CPUs"
             + (f", {s.debt:g} of debt" if s.debt else "")
             + (f", lacks {s.lacking:g}: {self._why(name)}" if s.lacking else "")
-            for name, s in sorted(self.reconciler.standings.items())
+            for name, s in sorted(self.reconciler.organisation_states.items())
         )
 
     def _why(self, name: Organisation) -> str:
         """Where what an organisation lacks is."""
         reasons = []
-        for other, standing in sorted(self.reconciler.standings.items()):
+        for other, standing in sorted(self.reconciler.organisation_states.items()):
             if other == name or not standing.surplus:
                 continue
             if standing.debt:
@@ -191,7 +191,7 @@
             "weight": limits.weight,
             "maximum": limits.maximum,
         }
-        standing = self.reconciler.standings.get(limits.name)
+        standing = self.reconciler.organisation_states.get(limits.name)
         if standing is not None and self._leading and self.in_force:
             row |= {
                 "target": round(standing.target, 3),
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -70,7 +70,7 @@
 
     def __init__(self, dwell_s: float) -> None:
         self.dwell_s = dwell_s
-        self.standings: dict[Organisation, Standing] = {}
+        self.organisation_states: dict[Organisation, Standing] = {}
         self._serves: Mapping[ShareNo, Organisation] = {}
         self._pool = PoolState((), 0.0)
         self._moved: dict[Organisation | None, float] = {}  # CPUs asked for in this plan
@@ -83,7 +83,7 @@
         self._begun = now
         self._catching_up.clear()
         self._directions.clear()
-        self.standings = {}
+        self.organisation_states = {}
 
     # --- targets -------------------------------------------------------------------------
 
@@ -96,8 +96,8 @@
         """Reckon the targets of this moment."""
         self._pool, self._serves = pool, serves
         self._moved.clear()
-        self.standings = self._standings(limits)
-        for name, standing in self.standings.items():
+        self.organisation_states = self._standings(limits)
+        for name, standing in self.organisation_states.items():
             if standing.lacking > pool.machine_cpus + LEAST_CPUS:
                 self._catching_up.add(name)
             elif standing.lacking < STOP_PART * pool.machine_cpus:
@@ -154,7 +154,7 @@
 
     def _lacking(self, name: Organisation | None) -> float:
         """What the organisation lacks, with what was asked for it in this plan."""
-        standing = self.standings.get(name) if name is not None else None
+        standing = self.organisation_states.get(name) if name is not None else None
         if standing is None:
             return 0.0
         return standing.target - standing.held - self._moved.get(name, 0.0)
@@ -163,7 +163,7 @@
         if name is None:  # a share that serves nobody has a use for nothing
             held = sum(s.held for s in self._pool.shares if s.share not in self._serves)
             return held + self._moved.get(None, 0.0)
-        return -self._lacking(name) if name in self.standings else 0.0
+        return -self._lacking(name) if name in self.organisation_states else 0.0
 
     def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
         """Does its organisation ask for more, and lack more than part of a machine?"""
@@ -260,9 +260,9 @@
     return share.used + share.asked if share.current else share.held
 
 
-def converged(standings: Iterable[Standing], machine_cpus: float) -> bool:
+def converged(organisation_states: Iterable[Standing], machine_cpus: float) -> bool:
     """Does everybody hold its target, within a machine, or lack no more than debt?"""
-    listed = list(standings)
+    listed = list(organisation_states)
     debt = sum(standing.debt for standing in listed)
     lacking = sum(s.lacking for s in listed if s.lacking > machine_cpus + LEAST_CPUS)
     return lacking <= debt + LEAST_CPUS
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -192,18 +192,20 @@
 
 def test_an_owner_that_was_not_heard_may_need_all_it_holds() -> None:
     reconciler = observed(fresh(), (8.0, 40.0), (40.0, 40.0), stale=1)
-    assert reconciler.standings["b"].demand == 40.0
-    assert reconciler.standings["b"].target == 24.0, "and no more than its part"
+    assert reconciler.organisation_states["b"].demand == 40.0
+    assert reconciler.organisation_states["b"].target == 24.0, "and no more than its part"
 
 
 def test_what_is_unused_is_lent_and_what_replicas_hold_is_debt() -> None:
     reconciler = observed(fresh(), (0.0, 0.0), (48.0, 40.0))
-    assert reconciler.standings["a"].lent == 24.0 and not reconciler.below_target(ShareNo(0))
+    assert reconciler.organisation_states["a"].lent == 24.0 and not reconciler.below_target(
+        ShareNo(0)
+    )
     observed(reconciler, (0.0, 400.0), (48.0, 40.0), replicas=30.0)
-    standing = reconciler.standings["b"]
+    standing = reconciler.organisation_states["b"]
     assert (standing.target, standing.surplus, standing.debt) == (24.0, 24.0, 24.0)
     observed(reconciler, (0.0, 8.0), (48.0, 40.0), replicas=30.0)
-    assert reconciler.standings["b"].debt == 8.0, "no more than others lack"
+    assert reconciler.organisation_states["b"].debt == 8.0, "no more than others lack"
 
 
 def test_what_was_asked_for_in_a_plan_counts_until_the_next() -> None:
@@ -258,4 +260,7 @@
         ]
         reconciler = fresh()
         reconciler.observe(PoolState(shares, 4.0), SERVES, limits)
-        assert (reconciler.standings["a"].target, reconciler.standings["b"].target) == expected
+        assert (
+            reconciler.organisation_states["a"].target,
+            reconciler.organisation_states["b"].target,
+        ) == expected
