--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 import pytest
+from runcourse.entitlements.founding import assign, deal, shares_of
 from world import platform
 
 from runcourse.core.entitlement import PoolState, Reassignment, ShareState
 from runcourse.core.ids import Instant, ShareNo
 from runcourse.core.stored_values import Division, OrganisationLimits
-from runcourse.entitlements.founding import assign, deal, shares_of
 from runcourse.entitlements.limits import division_fault
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
