--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -8,10 +8,10 @@
 from ..core.entitlement import Organisation, PoolState, Reassignment, TeamShares
 from ..core.ids import LONG_AGO, Instant, ShareNo
 from ..core.stored_values import Division, OrganisationLimits
-from .founding import Assignment, assign, deal
 from .limits import division_fault
 from .reconciler import Reconciler, converged
 from .settings import EntitlementSettings
+from .team_mapping import Assignment, assign, deal
 
 NOT_REACHED_AFTER_S = 60.0  # without convergence, after which the log says why
 NOT_FOUNDED = "no share was taken yet"
@@ -55,7 +55,7 @@
             f" {', '.join(sorted(stated))}"
         )
 
-    def founding(self, shares: int) -> list[str]:
+    def team_mapping(self, shares: int) -> list[str]:
         """The dealing of teams with which a new store is founded."""
         return deal(self.settings.organisations, shares)
 
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 import pytest
-from runcourse.entitlements.founding import assign, deal, shares_of
 from world import platform
 
 from runcourse.core.entitlement import PoolState, Reassignment, ShareState
@@ -16,6 +15,7 @@
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
 from runcourse.entitlements.settings import EntitlementSettings, Organisation, load_entitlements
+from runcourse.entitlements.team_mapping import assign, deal, shares_of
 from runcourse.errors import SettingsError
 
 GOOD = (
