--- a/runcourse/entitlements/team_mapping.py
+++ b/runcourse/entitlements/team_mapping.py
@@ -23,7 +23,7 @@
     problem: str  # empty if every share serves one organisation at the most
 
 
-def shares_of(organisations: Sequence[Organisation], shares: int) -> dict[str, int]:
+def count_shares(organisations: Sequence[Organisation], shares: int) -> dict[str, int]:
     """How many shares each organisation gets: one at least, the others in proportion to
     weight, and none more than it has teams. The order of the input doesn't matter."""
     ordered = sorted(organisations, key=lambda entry: entry.name)
@@ -41,7 +41,7 @@
 def deal(organisations: Sequence[Organisation], shares: int) -> list[str]:
     """Team names for the stored mapping, such that a share gets teams of one organisation."""
     columns: list[list[str]] = []
-    number = shares_of(organisations, shares)
+    number = count_shares(organisations, shares)
     for entry in sorted(organisations, key=lambda entry: entry.name):
         count, teams = number[entry.name], sorted(entry.teams)
         columns += [teams[n::count] for n in range(count)]
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -15,7 +15,7 @@
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
 from runcourse.entitlements.settings import EntitlementSettings, Organisation, load_entitlements
-from runcourse.entitlements.team_mapping import assign, deal, shares_of
+from runcourse.entitlements.team_mapping import assign, count_shares, deal
 from runcourse.errors import SettingsError
 
 GOOD = (
@@ -83,7 +83,7 @@
 def test_a_share_serves_one_organisation(
     organisations: list[Organisation], shares: int, expected: dict[str, int]
 ) -> None:
-    assert shares_of(organisations, shares) == expected
+    assert count_shares(organisations, shares) == expected
     names = deal(organisations, shares)
     assert names == deal(organisations[::-1], shares), "whoever writes it"
     dealt = {name: ShareNo(n % shares) for n, name in enumerate(names)}
