--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -15,7 +15,7 @@
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
 from runcourse.entitlements.settings import EntitlementSettings, Organisation, load_entitlements
-from runcourse.entitlements.team_mapping import assign, count_shares, deal
+from runcourse.entitlements.team_mapping import assign, count_shares, order_teams
 from runcourse.errors import SettingsError
 
 GOOD = (
@@ -84,8 +84,8 @@
     organisations: list[Organisation], shares: int, expected: dict[str, int]
 ) -> None:
     assert count_shares(organisations, shares) == expected
-    names = deal(organisations, shares)
-    assert names == deal(organisations[::-1], shares), "whoever writes it"
+    names = order_teams(organisations, shares)
+    assert names == order_teams(organisations[::-1], shares), "whoever writes it"
     dealt = {name: ShareNo(n % shares) for n, name in enumerate(names)}
     found = assign(organisations, lambda team: dealt[team], shares)
     assert not found.problem
