--- a/runcourse/entitlements/limits.py
+++ b/runcourse/entitlements/limits.py
@@ -10,7 +10,7 @@
 from .settings import MOST_CPUS
 
 
-def division_fault(
+def validate_limits(
     limits: Sequence[OrganisationLimits],
     organisations: Collection[str],
     served: Collection[str],
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -8,7 +8,7 @@
 from ..core.entitlement import Organisation, PoolState, Reassignment, TeamShares
 from ..core.ids import LONG_AGO, Instant, ShareNo
 from ..core.stored_values import Division, OrganisationLimits
-from .limits import division_fault
+from .limits import validate_limits
 from .reconciler import Reconciler, converged
 from .settings import EntitlementSettings
 from .team_mapping import Assignment, assign, deal
@@ -87,7 +87,7 @@
         """Why such a division can't be."""
         pool = self.settings.pool if self.settings.pool is not None else capacity
         names = {entry.name for entry in self.settings.organisations}
-        return division_fault(limits, names, set(self._assignment.serves.values()), pool)
+        return validate_limits(limits, names, set(self._assignment.serves.values()), pool)
 
     def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[Organisation, float]:
         """Targets of the present pool under such a division; of use on the leader only."""
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -11,7 +11,7 @@
 from runcourse.core.entitlement import PoolState, Reassignment, ShareState
 from runcourse.core.ids import Instant, ShareNo
 from runcourse.core.stored_values import Division, OrganisationLimits
-from runcourse.entitlements.limits import division_fault
+from runcourse.entitlements.limits import validate_limits
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
 from runcourse.entitlements.settings import EntitlementSettings, Organisation, load_entitlements
@@ -119,13 +119,13 @@
 )
 def test_faults_of_a_division(limits: list[Any], fault: str) -> None:
     entries = [OrganisationLimits(*entry) for entry in limits]
-    found = division_fault(entries, {"a", "b"}, {"a", "b"}, 100.0)
+    found = validate_limits(entries, {"a", "b"}, {"a", "b"}, 100.0)
     assert fault in found and bool(fault) == bool(found)
 
 
 def test_an_organisation_without_a_share_is_refused() -> None:
     entries = [OrganisationLimits("a"), OrganisationLimits("b")]
-    assert "'b' has no share" in division_fault(entries, {"a", "b"}, {"a"}, 100.0)
+    assert "'b' has no share" in validate_limits(entries, {"a", "b"}, {"a"}, 100.0)
 
 
 # --- reconciler --------------------------------------------------------------------------
