--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -90,7 +90,7 @@
     found = assign(organisations, lambda team: dealt[team], shares)
     assert not found.problem
     for name, count in expected.items():
-        assert sum(served == name for served in found.serves.values()) == count
+        assert sum(served == name for served in found.organisation_by_share.values()) == count
 
 
 def test_a_store_dealt_without_organisations_is_named() -> None:
