--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -219,7 +219,7 @@
 
 def test_the_log_says_once_whether_a_division_is_reached() -> None:
     policy = Entitlements(EntitlementSettings((organisation("a", 1), organisation("b", 1))))
-    policy.assign(lambda team: ShareNo("ab".index(team[0])), 2)
+    policy.mapping_changed(lambda team: ShareNo("ab".index(team[0])), 2)
     policy.begin(Instant(0.0))
 
     def lines(a_held: float, now: float) -> list[str]:
