--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -11,7 +11,7 @@
 from .limits import validate_limits
 from .reconciler import Reconciler, converged
 from .settings import EntitlementSettings
-from .team_mapping import Assignment, assign, deal
+from .team_mapping import Assignment, deal, derive_assignment
 
 NOT_REACHED_AFTER_S = 60.0  # without convergence, after which the log says why
 NOT_FOUNDED = "no share was taken yet"
@@ -59,9 +59,9 @@
         """The dealing of teams with which a new store is founded."""
         return deal(self.settings.organisations, shares)
 
-    def assign(self, of_team: TeamShares, shares: int) -> None:
+    def derive_assignment(self, of_team: TeamShares, shares: int) -> None:
         """Learn the dealing of the store."""
-        self._assignment = assign(self.settings.organisations, of_team, shares)
+        self._assignment = derive_assignment(self.settings.organisations, of_team, shares)
         self.problem = self._assignment.problem or self._other_names()
 
     def organisation(self, share: ShareNo) -> Organisation | None:
--- a/runcourse/entitlements/team_mapping.py
+++ b/runcourse/entitlements/team_mapping.py
@@ -52,7 +52,9 @@
     ]
 
 
-def assign(organisations: Sequence[Organisation], of_team: TeamShares, shares: int) -> Assignment:
+def derive_assignment(
+    organisations: Sequence[Organisation], of_team: TeamShares, shares: int
+) -> Assignment:
     """Whom each share serves, as the store deals the teams."""
     found: dict[ShareNo, dict[str, list[str]]] = {}
     for entry in sorted(organisations, key=lambda entry: entry.name):
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -15,7 +15,7 @@
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.reconciler import MAX_DWELL_FACTOR, Reconciler
 from runcourse.entitlements.settings import EntitlementSettings, Organisation, load_entitlements
-from runcourse.entitlements.team_mapping import assign, count_shares, order_teams
+from runcourse.entitlements.team_mapping import count_shares, derive_assignment, order_teams
 from runcourse.errors import SettingsError
 
 GOOD = (
@@ -87,7 +87,7 @@
     names = order_teams(organisations, shares)
     assert names == order_teams(organisations[::-1], shares), "whoever writes it"
     dealt = {name: ShareNo(n % shares) for n, name in enumerate(names)}
-    found = assign(organisations, lambda team: dealt[team], shares)
+    found = derive_assignment(organisations, lambda team: dealt[team], shares)
     assert not found.problem
     for name, count in expected.items():
         assert sum(served == name for served in found.organisation_by_share.values()) == count
@@ -96,7 +96,7 @@
 def test_a_store_dealt_without_organisations_is_named() -> None:
     organisations = [organisation("a", 2), organisation("b", 2)]
     dealt = {"a-0": 0, "a-1": 1, "b-0": 1, "b-1": 2}
-    found = assign(organisations, lambda team: ShareNo(dealt[team]), 3)
+    found = derive_assignment(organisations, lambda team: ShareNo(dealt[team]), 3)
     assert found.problem.endswith("share 1: a-1 of a; b-0 of b")
 
 
