--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -1,8 +1,8 @@
 """The stored division: read by every node, changed by compare-and-swap through any of them.
 
-A change rests on the version that its author saw and on the stamp of the stored value, so of two
-that are made at once one is stored and the other is refused. A change whose answer was lost is
-settled by a read: asking again tells whether it stands.
+A change is conditional on the version that its author saw and on the stamp of the stored value, so
+of two concurrent changes one is stored and the other is refused. If the answer to a change is lost,
+the author repeats the request: a catch-up read shows whether the change was stored.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from .types import DivisionAnswer, DivisionRequest, Write
 from .versions import DIVISIONS, Versions
 
-PAST_KEPT = 5  # former divisions in the stored value, for a rollback
-LEAST_KEPT = 1  # without which a value counts as too large
-CHANGE_S = 4.0  # for which whoever asked for a change waits
+MAX_PAST_DIVISIONS = 5  # former divisions kept in the stored value, for a rollback
+MIN_PAST_DIVISIONS = 1  # with fewer, the change is refused as too large
+CHANGE_TIMEOUT_S = 4.0  # that an operator's request waits for the result of a change
 
 NO_CONTACT = "the state service does not answer"
-UNKNOWN_FATE = "the change got no answer and may yet be carried out: ask again"
+UNKNOWN_OUTCOME = "the change got no answer and may yet be carried out: ask again"
 
 
 class Divisions:
-    """Answers operators' requests, and keeps the policy up to date with the store."""
+    """Answers operators' requests and passes changes in the store to the policy."""
 
     def __init__(
         self,
@@ -47,43 +47,43 @@
         self.shares = shares
         self.versions = versions
         self.policy = policy
-        self.capacity = capacity  # CPUs on record
-        self._mapped = Stamp(-1)
-        self._logged = ""
+        self.capacity = capacity  # returns the CPUs on record
+        self._mapping_stamp = Stamp(-1)
+        self._logged_problem = ""
         if policy.active:
-            store.listen(DIVISION, self._changed)
+            store.listen(DIVISION, self._division_changed)
 
-    def _changed(self, key: str, value: Any, stamp: Stamp) -> None:
+    def _division_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         self.policy.division_changed(value.current if value is not None else None)
 
     def tick(self) -> None:
-        """Follow the dealing of teams; say once why the policy is not in force."""
+        """Passes a changed team mapping to the policy; logs a change of why it is not in force."""
         if not self.policy.active or not self.store.ready:
             return
         stamp = self.store.stamp(MAPPING)
-        if stamp == self._mapped:
+        if stamp == self._mapping_stamp:
             return
-        self._mapped = stamp
-        self.policy.assign(self.shares.of_team, len(self.context.members))
-        problem = self.policy.problem if self._founded() else ""
-        if problem != self._logged:
-            self._logged = problem
+        self._mapping_stamp = stamp
+        self.policy.mapping_changed(self.shares.of_team, len(self.context.members))
+        problem = self.policy.problem if self._any_share_taken() else ""
+        if problem != self._logged_problem:
+            self._logged_problem = problem
             if problem:
                 self.context.log("warning", f"entitlements are not in force: {problem}")
 
-    def _founded(self) -> bool:
-        """Was any share ever taken? Before that nothing is dealt."""
+    def _any_share_taken(self) -> bool:
+        """Returns whether any share was ever owned; the team mapping is stored with the first."""
         return any(self.shares.owner(share) is not None for share in self.shares.all())
 
     # --- requests ------------------------------------------------------------------------
 
     def handle(self, request: DivisionRequest) -> None:
-        """Answer a request; what it rests on is read after it arrived."""
+        """Answers a request from a copy of the store that was read after the request arrived."""
         if not self.policy.active:
             self._refuse(request, self.policy.problem)
             return
 
-        def read(ok: bool) -> None:
+        def on_read(ok: bool) -> None:
             if not ok:
                 self._answer(request, "unreachable", NO_CONTACT)
                 return
@@ -91,11 +91,11 @@
             if not self.policy.in_force:
                 self._refuse(request, self.policy.problem)
             else:
-                self._serve(request)
+                self._execute(request)
 
-        self.store.sync(read)
+        self.store.sync(on_read)
 
-    def _serve(self, request: DivisionRequest) -> None:
+    def _execute(self, request: DivisionRequest) -> None:
         match request.action:
             case "show":
                 self._answer(request, "ok")
@@ -107,7 +107,7 @@
                 self._roll_back(request)
 
     def _preview(self, request: DivisionRequest) -> None:
-        fault = self.policy.fault(request.limits, self.capacity())
+        fault = self.policy.validate_division(request.limits, self.capacity())
         if fault:
             self._refuse(request, fault)
         else:
@@ -115,13 +115,16 @@
             self._answer(request, "ok", targets=dict(targets))
 
     def _roll_back(self, request: DivisionRequest) -> None:
-        past = self._past()
+        past = self._past_divisions()
         if not past:
             self._refuse(request, "version: there is no former division to go back to")
             return
-        # Was it carried out before? Then what was restored is now the one before the last.
+        # If the same rollback was stored before, the division that it restored is now the second
+        # of the former ones.
         restored = past[1] if len(past) > 1 else None
-        if restored and self._stands(request, restored.limits, _rollback_note(request, restored)):
+        if restored and self._already_applied(
+            request, restored.limits, _rollback_note(request, restored)
+        ):
             self._answer(request, "ok")
             return
         self._change(request, past[0].limits, _rollback_note(request, past[0]))
@@ -129,13 +132,15 @@
     def _change(
         self, request: DivisionRequest, limits: Sequence[OrganisationLimits], note: str
     ) -> None:
-        if self._stands(request, limits, note):
+        if self._already_applied(request, limits, note):
             self._answer(request, "ok")
             return
         current = self.policy.division()
-        wanted = Division(current.version + 1, _sorted(limits), request.author, note, request.at)
-        fault = self._fault(request, wanted, current)
-        value = self._value(wanted, current)
+        proposed = Division(
+            current.version + 1, _sorted_by_name(limits), request.author, note, request.at
+        )
+        fault = self._validate_change(request, proposed, current)
+        value = self._stored_value(proposed, current)
         if fault:
             self._refuse(request, fault)
         elif value is None:
@@ -143,72 +148,81 @@
         else:
             self._commit(request, value)
 
-    def _stands(
+    def _already_applied(
         self, request: DivisionRequest, limits: Sequence[OrganisationLimits], note: str
     ) -> bool:
-        """Was just this change made on the version named? Its answer was lost, it seems."""
+        """Returns whether the division in force is this change, made on the version that the
+        request expects. This is so when a request is repeated after its answer was lost."""
         current = self.policy.division()
-        made = (current.version - 1, current.author, current.note, current.limits)
-        return made == (request.expect, request.author, note, _sorted(limits))
+        stored = (current.version - 1, current.author, current.note, current.limits)
+        return stored == (request.expect, request.author, note, _sorted_by_name(limits))
 
-    def _fault(self, request: DivisionRequest, wanted: Division, current: Division) -> str:
+    def _validate_change(
+        self, request: DivisionRequest, proposed: Division, current: Division
+    ) -> str:
         if request.expect != current.version:
             return (
                 f"version: expected {request.expect}, but version {current.version}"
-                f" is in force{_made(current)}"
+                f" is in force{_describe_change(current)}"
             )
         if not self.versions.divisions_read:
-            former = [m for m, v in self.versions.seen().items() if v is None or v < DIVISIONS]
+            former = [
+                member
+                for member, version in self.versions.seen().items()
+                if version is None or version < DIVISIONS
+            ]
             return f"versions: not every controller is known to read divisions: {former}"
-        return self.policy.fault(wanted.limits, self.capacity())
+        return self.policy.validate_division(proposed.limits, self.capacity())
 
-    def _past(self) -> list[Division]:
+    def _past_divisions(self) -> list[Division]:
         stored = self.store.get(DIVISION)
         return stored.past if stored is not None else []
 
-    def _value(self, wanted: Division, current: Division) -> DivisionValue | None:
-        """The new value with as many former divisions as it holds; None: too large."""
-        past = [current, *self._past()][:PAST_KEPT]
-        while len(past) >= LEAST_KEPT:
-            value = DivisionValue(wanted, past)
+    def _stored_value(self, proposed: Division, current: Division) -> DivisionValue | None:
+        """Returns the value to store, with as many former divisions as fit, or None if it would be
+        too large."""
+        past = [current, *self._past_divisions()][:MAX_PAST_DIVISIONS]
+        while len(past) >= MIN_PAST_DIVISIONS:
+            value = DivisionValue(proposed, past)
             if json_size(msgspec.to_builtins(value)) <= self.context.limits.value_bytes:
                 return value
             past.pop()
         return None
 
     def _commit(self, request: DivisionRequest, value: DivisionValue) -> None:
-        def done(result: CommitResult, stamp: Stamp) -> None:
+        def on_commit(result: CommitResult, stamp: Stamp) -> None:
             match result:
                 case CommitResult.OK:
                     self.context.log("info", f"division {value.current.version} is in force")
                     self._answer(request, "ok")
                 case CommitResult.CONFLICT:
-                    self._overtaken(request)
+                    self._resolve_conflict(request)
                 case CommitResult.REJECTED:
                     self._refuse(request, "limits: the state service takes no such value")
                 case CommitResult.REFUSED:
                     self._answer(request, "unreachable", NO_CONTACT)
                 case _:
-                    self._answer(request, "unknown", UNKNOWN_FATE)
+                    self._answer(request, "unknown", UNKNOWN_OUTCOME)
 
         self.store.commit(
             [self.store.expect(DIVISION), self.store.expect(MAPPING)],
             [Write(DIVISION, value)],
-            done,
+            on_commit,
             Store.USER,
-            Instant(self.context.now + CHANGE_S),
+            Instant(self.context.now + CHANGE_TIMEOUT_S),
         )
 
-    def _overtaken(self, request: DivisionRequest) -> None:
-        """Another change was stored first: read it, and name both versions."""
+    def _resolve_conflict(self, request: DivisionRequest) -> None:
+        """Another change was stored first: reads it, and answers with both versions."""
 
-        def read(ok: bool) -> None:
+        def on_read(ok: bool) -> None:
             if ok:
-                self._serve(request)  # the version it expects is former now, or it stands
+                # The request expects a former version now, unless it was applied itself.
+                self._execute(request)
             else:
-                self._answer(request, "unknown", UNKNOWN_FATE)
+                self._answer(request, "unknown", UNKNOWN_OUTCOME)
 
-        self.store.sync(read)
+        self.store.sync(on_read)
 
     # --- answers -------------------------------------------------------------------------
 
@@ -222,20 +236,20 @@
         reason: str = "",
         targets: dict[str, float] | None = None,
     ) -> None:
-        shown = self.policy.active and self.policy.in_force
+        in_force = self.policy.active and self.policy.in_force
         self.context.emit(
             DivisionAnswer(
                 request.request,
                 result,
                 reason,
-                self.policy.division() if shown else None,
-                self._past() if shown else [],
+                self.policy.division() if in_force else None,
+                self._past_divisions() if in_force else [],
                 targets or {},
             )
         )
 
 
-def _sorted(limits: Sequence[OrganisationLimits]) -> list[OrganisationLimits]:
+def _sorted_by_name(limits: Sequence[OrganisationLimits]) -> list[OrganisationLimits]:
     return sorted(limits, key=lambda entry: entry.name)
 
 
@@ -243,6 +257,6 @@
     return request.note or f"rollback to version {former.version}"
 
 
-def _made(division: Division) -> str:
+def _describe_change(division: Division) -> str:
     by = f" by {division.author}" if division.author else ""
     return f" (made{by}: {division.note or 'no note'})"
--- a/runcourse/core/entitlement.py
+++ b/runcourse/core/entitlement.py
@@ -1,8 +1,9 @@
-"""What an optional subsystem may say about which share has how much of the fleet.
+"""The interface through which entitlements influence how machines are divided among shares.
 
-An entitlement policy decides and never commands. The leader asks it before it hires for a share or
-asks an owner for machines; records, guards and transactions stay with the modules that own them.
-By default it says nothing, and the leader decides as without it.
+An entitlement policy answers questions and issues no commands. The leader queries it before it
+hires machines for a share or asks an owner for machines; stored records, conditions on writes and
+transactions stay with the modules that own them. Without a policy (`NoEntitlements`) the leader
+divides machines by demand alone.
 """
 
 from __future__ import annotations
@@ -13,30 +14,30 @@
 from .ids import Instant, ShareNo, Team
 from .stored_values import Division, OrganisationLimits
 
-Organisation = str
-TeamShares = Callable[[Team], ShareNo]
+OrganisationName = str
+ShareOfTeam = Callable[[Team], ShareNo]
 
 
 class ShareState(NamedTuple):
     """What the leader knows of a share: records at one revision, and its owner's report."""
 
     share: ShareNo
-    held: float  # CPUs of its machines on record, without those that leave
+    held: float  # CPUs of the share's machines on record, without machines that are leaving
     used: float  # CPUs allocated to tasks
-    replicas: float  # of those, to replicas of services
-    asked: float  # CPUs of machines that waiting tasks need
-    current: bool  # the owner's report is valid; otherwise only `held` is known
+    replicas: float  # the part of `used` that replicas of services hold
+    waiting: float  # CPUs of the machines that waiting tasks need
+    report_valid: bool  # whether the owner's report is recent; if not, only `held` is known
 
 
 class PoolState(NamedTuple):
-    """The whole pool as the leader sees it at one moment."""
+    """All shares of the pool as the leader sees them at one moment."""
 
     shares: Sequence[ShareState]
-    machine_cpus: float  # of the largest machine on record
+    largest_machine_cpus: float  # of the machines on record
 
 
 class Reassignment(NamedTuple):
-    """Machines that the owner of one share is to transfer to another as they fall empty."""
+    """Machines that the owner of one share is to transfer to another as they become empty."""
 
     giver: ShareNo
     taker: ShareNo
@@ -48,136 +49,136 @@
 
     @property
     def active(self) -> bool:
-        """Did operators state organisations at all? If not, nothing else is asked."""
+        """Whether organisations are configured; if not, the policy has no effect."""
 
     @property
     def in_force(self) -> bool:
-        """Does every share serve one organisation at the most, as the store has it?"""
+        """Whether, by the stored team mapping, every share serves at most one organisation."""
 
     @property
     def problem(self) -> str:
         """Why the policy is not in force; empty if it is."""
 
     def initial_team_order(self, shares: int) -> list[str]:
-        """Team names in an order that deals one organisation's teams to each share."""
+        """Returns team names in an order that maps one organisation's teams to each share."""
 
-    def assign(self, of_team: TeamShares, shares: int) -> None:
-        """Learn which share serves which team, as the store has it."""
+    def mapping_changed(self, share_of_team: ShareOfTeam, shares: int) -> None:
+        """Derives from the stored team mapping which organisation each share serves."""
 
-    def organisation(self, share: ShareNo) -> Organisation | None:
-        """Whom the share serves; None: nobody."""
+    def organisation(self, share: ShareNo) -> OrganisationName | None:
+        """Returns the organisation that the share serves, or None if it serves none."""
 
     def division_changed(self, division: Division | None) -> None:
-        """Another division is in force; None: none was ever stored."""
+        """Puts another division in force; None means that the store holds none."""
 
     def division(self) -> Division:
-        """The division in force."""
+        """Returns the division in force."""
 
-    def fault(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
-        """Why such a division can't be, with the field; empty if it can. `capacity`: CPUs on
-        record."""
+    def validate_division(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
+        """Returns why such a division is invalid, with the field, or an empty string. `capacity`
+        is the number of CPUs on record."""
 
     def begin(self, now: Instant) -> None:
-        """Leadership begins: nothing that an earlier leader did is known."""
+        """Called when this node becomes leader; nothing of an earlier leader's state is known."""
 
     def end(self) -> None:
-        """Leadership is over: what was observed is old."""
+        """Called when this node stops leading; its targets are out of date from then on."""
 
     def observe(self, pool: PoolState, now: Instant) -> Sequence[str]:
-        """Look at the pool before a plan is made; returns lines for the log."""
+        """Updates targets from the state of the pool before each plan; returns log lines."""
 
-    def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[Organisation, float]:
-        """Targets in CPUs that the present pool would give under such a division."""
+    def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[OrganisationName, float]:
+        """Returns the targets in CPUs that such a division would give in the present pool."""
 
-    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
-        """Does the share's organisation ask for more, and hold too little? `coming`: CPUs that
-        are on their way to it."""
+    def below_target(self, share: ShareNo, incoming_cpus: float = 0.0) -> bool:
+        """Returns whether the share's organisation requests more CPUs and holds too few, also
+        after it receives `incoming_cpus`."""
 
     def meets_target(self, share: ShareNo) -> bool:
-        """Does the share's organisation hold all that it is entitled to, or more?"""
+        """Returns whether the share's organisation holds at least its target."""
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """May a machine be asked of an owner that may have use for it itself?"""
+        """Returns whether a machine may be requested from an owner that could use it itself."""
 
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
-        """Do both shares serve the same organisation?"""
+        """Returns whether both shares serve the same organisation."""
 
     def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
-        """A machine was asked for in this plan: it counts for the taker until the next."""
+        """Counts a machine requested in this plan for the taker until the next plan."""
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
-        """What owners are to transfer as it falls empty."""
+        """Returns what owners are to transfer as their machines become empty."""
 
     def status(self) -> dict[str, Any]:
-        """What operators may see; targets only where this node leads."""
+        """Returns what operators may see; targets only on the leader."""
 
 
 class NoEntitlements:
-    """The default: every share may take from every other, without limit."""
+    """The default policy: any share may take idle machines of any other, without limit."""
 
     active = False
     in_force = False
     problem = "no entitlements file was named when this controller was started"
 
     def initial_team_order(self, shares: int) -> list[str]:
-        """Nothing is known of organisations."""
+        """Returns an empty list: the default order of teams applies."""
         return []
 
-    def assign(self, of_team: TeamShares, shares: int) -> None:
-        """Nothing depends on it."""
+    def mapping_changed(self, share_of_team: ShareOfTeam, shares: int) -> None:
+        """Does nothing."""
 
-    def organisation(self, share: ShareNo) -> Organisation | None:
-        """There are none."""
+    def organisation(self, share: ShareNo) -> OrganisationName | None:
+        """Returns None: no share serves an organisation."""
         return None
 
     def division_changed(self, division: Division | None) -> None:
-        """Nothing depends on it."""
+        """Does nothing."""
 
     def division(self) -> Division:
-        """There is none."""
+        """Returns an empty division."""
         return Division(0, [])
 
-    def fault(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
-        """None can be."""
+    def validate_division(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
+        """Returns why no division is valid without organisations."""
         return self.problem
 
     def begin(self, now: Instant) -> None:
-        """Nothing depends on it."""
+        """Does nothing."""
 
     def end(self) -> None:
-        """Nothing depends on it."""
+        """Does nothing."""
 
     def observe(self, pool: PoolState, now: Instant) -> Sequence[str]:
-        """Nothing is learnt."""
+        """Returns no log lines."""
         return ()
 
-    def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[Organisation, float]:
-        """Nothing is known."""
+    def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[OrganisationName, float]:
+        """Returns no targets."""
         return {}
 
-    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
-        """Nobody is."""
+    def below_target(self, share: ShareNo, incoming_cpus: float = 0.0) -> bool:
+        """Returns False: there are no targets."""
         return False
 
     def meets_target(self, share: ShareNo) -> bool:
-        """Nobody does."""
+        """Returns False: there are no targets."""
         return False
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """Only what its holder has no use for."""
+        """Returns False: only machines that the giver cannot use may be requested."""
         return False
 
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
-        """As if all served one."""
+        """Returns True: all shares count as serving one organisation."""
         return True
 
     def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
-        """Nothing depends on it."""
+        """Does nothing."""
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
-        """None."""
+        """Returns no reassignments."""
         return ()
 
     def status(self) -> dict[str, Any]:
-        """Nothing to see."""
+        """Returns an empty status."""
         return {}
--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -1,7 +1,8 @@
-"""What an optional subsystem may say about where tasks go. By default: nothing.
+"""The interface through which a placement policy influences where tasks run.
 
-A policy decides and never commands. Its words change scores and propose moves; filters, limits,
-fencing and "never twice" stay with the modules that own them.
+A policy adjusts scores and proposes moves; it issues no commands. Filters, limits, fencing and the
+rule that no task runs twice stay with the modules that own them. Without a policy (`NoPolicy`)
+placement is unchanged.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 
 
 class Candidate(NamedTuple):
-    """A running task that may be moved, as far as the rules are concerned."""
+    """A running task that the placement rules allow to be moved."""
 
     placement: Placement
-    targets: Sequence[Machine]  # where it is allowed and fits, images and all
+    targets: Sequence[Machine]  # where it is allowed and fits; a service's image is there
 
 
 class MoveProposal(NamedTuple):
-    """A running task that is better off on another machine."""
+    """A move of a running task that is expected to gain time."""
 
     placement: Placement
     target: Machine
-    gain_s: float  # expected, after all costs
+    gain_s: float  # expected gain in seconds, after all costs
     reason: str
 
 
@@ -37,117 +38,118 @@
 
     @property
     def active(self) -> bool:
-        """Does the policy say anything at all? If not, nothing else is asked of it."""
+        """Whether the policy has any effect; if not, callers skip it."""
 
     @property
     def rebalances(self) -> bool:
-        """May moves be proposed?"""
+        """Whether moves may be proposed."""
 
     @property
     def dry_run(self) -> bool:
-        """Are moves only to be logged?"""
+        """Whether moves are logged instead of carried out."""
 
     def replace(self, settings: Any, now: Instant) -> list[str]:
-        """Put other settings in force; returns what is to be said of it."""
+        """Replaces the settings in force; returns log lines about the change."""
 
     def cost_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
-        """Seconds by which the machine is worse for a task, beside its image fetch."""
+        """Returns the cost in seconds of running a task on the machine, without the image fetch."""
 
     def candidates(self, work: Work, machines: list[Machine]) -> list[Machine]:
-        """The machines left to a task of the job; never none of several."""
+        """Returns the machines that a task of the job may use; at least one unless `machines` is
+        empty."""
 
     def observe(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
-        """Look at the machines owned here, and at what waits; called at intervals."""
+        """Samples the machines owned by this node and the waiting work; called at intervals."""
 
     def finished(self, placement: Placement, ran_s: float) -> None:
-        """A task completed after running for so long."""
+        """Records that a task completed after running for `ran_s` seconds."""
 
     def share_gained(self, holding: Holding, now: Instant) -> None:
-        """A share is owned here from now on."""
+        """Called when this node becomes the owner of a share."""
 
     def share_lost(self, share: ShareNo) -> None:
-        """A share is not owned here any more."""
+        """Called when this node is no longer the owner of a share."""
 
     def may_move(self, placement: Placement, now: Instant) -> bool:
-        """May the task be moved, as far as its earlier moves are concerned?"""
+        """Returns whether earlier moves of the task allow another one now."""
 
     def sample_size(self) -> int:
-        """How many machines a plan looks at."""
+        """Returns how many machines a plan considers."""
 
     def may_plan(self, share: ShareNo, now: Instant) -> bool:
-        """Is it time for a plan of the share, and is there a move left in its budget?"""
+        """Returns whether a plan of the share is due and its budget allows a move."""
 
     def propose(
         self, share: ShareNo, candidates: Sequence[Candidate], now: Instant
     ) -> MoveProposal | None:
-        """The best move among the candidates, if any is worth it."""
+        """Returns the best move among the candidates, or None if no move is worth its cost."""
 
     def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
-        """A move of the task was begun: it counts against the bounds, whatever becomes of it."""
+        """Records that a move of the task began; it counts against the bounds even if it fails."""
 
     def heat_of(self, id: MachineId) -> str:
-        """The state of the machine's load, for operators."""
+        """Returns the load state of the machine, for operators."""
 
     def status(self, now: Instant) -> dict[str, Any]:
-        """What operators may see."""
+        """Returns what operators may see."""
 
 
 class NoPolicy:
-    """The default: the same decisions as without any policy."""
+    """The default: decisions are the same as without a placement policy."""
 
     active = False
     rebalances = False
     dry_run = False
 
     def replace(self, settings: Any, now: Instant) -> list[str]:
-        """There are none."""
+        """Returns no log lines: there are no settings."""
         return []
 
     def cost_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
-        """Nothing is known against any machine."""
+        """Returns no cost."""
         return 0.0
 
     def candidates(self, work: Work, machines: list[Machine]) -> list[Machine]:
-        """All of them."""
+        """Returns all of the machines."""
         return machines
 
     def observe(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
-        """Nothing is learnt."""
+        """Does nothing."""
 
     def finished(self, placement: Placement, ran_s: float) -> None:
-        """Nothing is learnt."""
+        """Does nothing."""
 
     def share_gained(self, holding: Holding, now: Instant) -> None:
-        """Nothing depends on it."""
+        """Does nothing."""
 
     def share_lost(self, share: ShareNo) -> None:
-        """Nothing depends on it."""
+        """Does nothing."""
 
     def may_move(self, placement: Placement, now: Instant) -> bool:
-        """Nothing is moved."""
+        """Returns False: no task is moved."""
         return False
 
     def sample_size(self) -> int:
-        """Nothing is looked at."""
+        """Returns 0: no machine is considered."""
         return 0
 
     def may_plan(self, share: ShareNo, now: Instant) -> bool:
-        """Nothing is planned."""
+        """Returns False: no plan is made."""
         return False
 
     def propose(
         self, share: ShareNo, candidates: Sequence[Candidate], now: Instant
     ) -> MoveProposal | None:
-        """Nothing is proposed."""
+        """Returns None: no move is proposed."""
         return None
 
     def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
-        """Nothing is bounded."""
+        """Does nothing."""
 
     def heat_of(self, id: MachineId) -> str:
-        """Nothing is known."""
+        """Returns an empty string: the load is not tracked."""
         return ""
 
     def status(self, now: Instant) -> dict[str, Any]:
-        """Nothing to see."""
+        """Returns an empty status."""
         return {}
--- a/runcourse/entitlements/__init__.py
+++ b/runcourse/entitlements/__init__.py
@@ -1,1 +1,1 @@
-"""Entitlements: one pool of machines divided among organisations while it serves."""
+"""Entitlements: divides one pool of machines among organisations, adjustable at run time."""
--- a/runcourse/entitlements/fairshare.py
+++ b/runcourse/entitlements/fairshare.py
@@ -1,9 +1,9 @@
 """Weighted max-min fair division of a capacity, by progressive filling.
 
 D. Bertsekas, R. Gallager, "Data Networks", 1992, section 6.5.2: all allocations grow together, each
-in proportion to its weight, and one stops growing where its claim ends. Here an allocation also
-begins at its minimum. Numbers are exact fractions, so the result depends on neither rounding nor
-the order of the claims.
+in proportion to its weight, and each stops growing when its claim is met. In this module an
+allocation also starts at its minimum. Numbers are exact fractions, so the result depends neither on
+rounding nor on the order of the claims.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class Claim(NamedTuple):
-    """What one organisation asks for, and the bounds of what it gets; all in CPUs."""
+    """The demand of one organisation and the bounds of its allocation, in CPUs."""
 
     name: str
     demand: float
     minimum: float = 0.0
     weight: float = 1.0
-    maximum: float | None = None  # None: no bound
+    maximum: float | None = None  # None: unlimited
 
     @property
     def ceiling(self) -> Fraction:
-        """The most that it may get."""
+        """The largest possible allocation."""
         demand = Fraction(self.demand)
         return demand if self.maximum is None else min(demand, Fraction(self.maximum))
 
     @property
     def floor(self) -> Fraction:
-        """What it gets before anybody gets more than a minimum."""
+        """The part that is allocated before any claim gets more than its minimum."""
         return min(Fraction(self.minimum), self.ceiling)
 
 
 class _Range(NamedTuple):
-    """Bounds of one allocation while the level rises."""
+    """Bounds of one allocation during the filling."""
 
     name: str
     floor: Fraction
@@ -45,26 +45,28 @@
     weight: Fraction
 
     def at(self, level: Fraction) -> Fraction:
-        """The allocation at a level of CPUs for each unit of weight."""
+        """Returns the allocation at a level, in CPUs per unit of weight."""
         return min(max(level * self.weight, self.floor), self.ceiling)
 
 
 def allocate(capacity: float, claims: Iterable[Claim]) -> dict[str, Fraction]:
-    """The weighted max-min fair allocation of the capacity, by name.
+    """Returns the weighted max-min fair allocation of the capacity, by name.
 
-    Nobody gets more than its demand or maximum; minima come first, and where the capacity doesn't
-    hold them all it is divided among them by weight.
+    No claim gets more than its demand or maximum. Minima are allocated first; if the capacity is
+    less than all minima, it is divided among them by weight.
     """
     ordered = sorted(claims)
-    whole = max(Fraction(capacity), ZERO)
+    available = max(Fraction(capacity), ZERO)
     minima = [_Range(c.name, ZERO, c.floor, Fraction(c.weight)) for c in ordered]
-    if sum(r.ceiling for r in minima) >= whole:
-        return _fill(whole, minima)
-    return _fill(whole, [_Range(c.name, c.floor, c.ceiling, Fraction(c.weight)) for c in ordered])
+    if sum(r.ceiling for r in minima) >= available:
+        return _fill(available, minima)
+    return _fill(
+        available, [_Range(c.name, c.floor, c.ceiling, Fraction(c.weight)) for c in ordered]
+    )
 
 
 def _fill(capacity: Fraction, ranges: Sequence[_Range]) -> dict[str, Fraction]:
-    """Raise the level until the capacity is used or every ceiling is reached."""
+    """Raises the level until the capacity is used or every ceiling is reached."""
     if sum((r.ceiling for r in ranges), ZERO) <= capacity:
         return {r.name: r.ceiling for r in ranges}
     level = _level(capacity, ranges)
@@ -72,17 +74,17 @@
 
 
 def _level(capacity: Fraction, ranges: Sequence[_Range]) -> Fraction:
-    """The level at which the allocations add up to the capacity.
+    """Returns the level at which the allocations add up to the capacity.
 
     Their sum is linear between the levels at which an allocation leaves its floor or reaches its
-    ceiling, so the level is found between two of those.
+    ceiling, so the level is interpolated between two of those breakpoints.
     """
-    bends = sorted({bound / r.weight for r in ranges for bound in (r.floor, r.ceiling)})
+    breakpoints = sorted({bound / r.weight for r in ranges for bound in (r.floor, r.ceiling)})
     below = ZERO
-    for bend in bends:
-        if sum((r.at(bend) for r in ranges), ZERO) >= capacity:
+    for boundary in breakpoints:
+        if sum((r.at(boundary) for r in ranges), ZERO) >= capacity:
             break
-        below = bend
+        below = boundary
     growing = sum((r.weight for r in ranges if r.floor <= below * r.weight < r.ceiling), ZERO)
     used = sum((r.at(below) for r in ranges), ZERO)
     return below if not growing else below + (capacity - used) / growing
--- a/runcourse/entitlements/limits.py
+++ b/runcourse/entitlements/limits.py
@@ -1,4 +1,4 @@
-"""Whether a division can be: every organisation once, with numbers that agree."""
+"""Validation of a division: every organisation exactly once, with consistent limits."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Sequence
 
 from ..core.stored_values import OrganisationLimits
-from .settings import MOST_CPUS
+from .settings import MAX_CPUS
 
 
 def validate_limits(
@@ -16,8 +16,8 @@
     served: Collection[str],
     pool: float,
 ) -> str:
-    """The first fault, with its field; empty if there is none. `organisations`: those of the
-    entitlements file; `served`: those that have a share; `pool`: CPUs."""
+    """Returns the first fault with its field, or an empty string. `organisations` are those of the
+    entitlements file, `served` those that have a share; `pool` is in CPUs."""
     counts = Counter(entry.name for entry in limits)
     for number, entry in enumerate(limits):
         place = f"organisations[{number}]"
@@ -27,7 +27,7 @@
             return f"{place}.name: {entry.name!r} is listed twice"
         if entry.name not in served:
             return f"{place}.name: {entry.name!r} has no share"
-        fault = _numbers(entry)
+        fault = _validate_numbers(entry)
         if fault:
             return f"{place}.{fault}"
     missing = sorted(set(organisations) - set(counts))
@@ -39,14 +39,14 @@
     return ""
 
 
-def _numbers(entry: OrganisationLimits) -> str:
-    if not 0 <= entry.minimum <= MOST_CPUS:
-        return f"minimum: expected 0 to {MOST_CPUS:g}, got {entry.minimum:g}"
-    if not (0 < entry.weight <= MOST_CPUS) or not math.isfinite(entry.weight):
+def _validate_numbers(entry: OrganisationLimits) -> str:
+    if not 0 <= entry.minimum <= MAX_CPUS:
+        return f"minimum: expected 0 to {MAX_CPUS:g}, got {entry.minimum:g}"
+    if not (0 < entry.weight <= MAX_CPUS) or not math.isfinite(entry.weight):
         return f"weight: expected more than 0, got {entry.weight:g}"
     if entry.maximum is None:
         return ""
-    if not 0 < entry.maximum <= MOST_CPUS:
+    if not 0 < entry.maximum <= MAX_CPUS:
         return f"maximum: expected more than 0, got {entry.maximum:g}"
     if entry.maximum < entry.minimum:
         return f"maximum: {entry.maximum:g} is less than the minimum of {entry.minimum:g}"
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -5,16 +5,16 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from ..core.entitlement import Organisation, PoolState, Reassignment, TeamShares
+from ..core.entitlement import OrganisationName, PoolState, Reassignment, ShareOfTeam
 from ..core.ids import LONG_AGO, Instant, ShareNo
 from ..core.stored_values import Division, OrganisationLimits
 from .limits import validate_limits
 from .reconciler import Reconciler, converged
 from .settings import EntitlementSettings
-from .team_mapping import Assignment, deal, derive_assignment
+from .team_mapping import Assignment, derive_assignment, order_teams
 
-NOT_REACHED_AFTER_S = 60.0  # without convergence, after which the log says why
-NOT_FOUNDED = "no share was taken yet"
+NOT_REACHED_AFTER_S = 60.0  # without convergence, after which the reason is logged
+NO_SHARE_TAKEN = "no share was taken yet"
 
 
 class Entitlements:
@@ -25,180 +25,191 @@
     def __init__(self, settings: EntitlementSettings) -> None:
         self.settings = settings
         self.reconciler = Reconciler(settings.dwell)
-        self._first = Division(
+        self._initial_division = Division(
             0, sorted((entry.limits for entry in settings.organisations), key=lambda e: e.name)
         )
-        self._division = self._first
-        self._assignment = Assignment({}, NOT_FOUNDED)
-        self.problem = NOT_FOUNDED  # why the policy is not in force; empty if it is
+        self._division = self._initial_division
+        self._assignment = Assignment({}, NO_SHARE_TAKEN)
+        self.problem = NO_SHARE_TAKEN  # why the policy is not in force; empty if it is
         self._leading = False
         self._pool = PoolState((), 0.0)
-        self._since = LONG_AGO  # the targets are not reached
+        self._unreached_since = LONG_AGO  # start of the present time without convergence
         self._reached = False
-        self._logged: set[bool] = set()  # whether reached and whether not, of this division
+        self._logged_outcomes: set[bool] = set()  # values of `_reached` logged for this division
 
-    # --- founding and division -----------------------------------------------------------
+    # --- team mapping and division -------------------------------------------------------
 
     @property
     def in_force(self) -> bool:
-        """Does every share serve one organisation at the most, of those that are divided?"""
+        """Whether every share serves at most one organisation, and the stored division names the
+        organisations of the file."""
         return not self.problem
 
-    def _other_names(self) -> str:
-        """A division that was stored with another file than this."""
+    def _name_mismatch(self) -> str:
+        """Returns a problem if the stored division names other organisations than the file, or an
+        empty string."""
         stored = {entry.name for entry in self._division.limits}
-        stated = {entry.name for entry in self.settings.organisations}
-        if stored == stated:
+        configured = {entry.name for entry in self.settings.organisations}
+        if stored == configured:
             return ""
         return (
             f"the stored division names {', '.join(sorted(stored))}, the file"
-            f" {', '.join(sorted(stated))}"
+            f" {', '.join(sorted(configured))}"
         )
 
-    def team_mapping(self, shares: int) -> list[str]:
-        """The dealing of teams with which a new store is founded."""
-        return deal(self.settings.organisations, shares)
+    def initial_team_order(self, shares: int) -> list[str]:
+        """Returns the names of the team mapping that is stored when the store is first used."""
+        return order_teams(self.settings.organisations, shares)
 
-    def derive_assignment(self, of_team: TeamShares, shares: int) -> None:
-        """Learn the dealing of the store."""
-        self._assignment = derive_assignment(self.settings.organisations, of_team, shares)
-        self.problem = self._assignment.problem or self._other_names()
+    def mapping_changed(self, share_of_team: ShareOfTeam, shares: int) -> None:
+        """Derives from the stored team mapping which organisation each share serves."""
+        self._assignment = derive_assignment(self.settings.organisations, share_of_team, shares)
+        self.problem = self._assignment.problem or self._name_mismatch()
 
-    def organisation(self, share: ShareNo) -> Organisation | None:
-        """Whom the share serves."""
-        return self._assignment.serves.get(share)
+    def organisation(self, share: ShareNo) -> OrganisationName | None:
+        """Returns the organisation that the share serves, or None."""
+        return self._assignment.organisation_by_share.get(share)
 
     def division(self) -> Division:
-        """The stored division, or what the file says while none is stored."""
+        """Returns the stored division, or the initial one of the file while none is stored."""
         return self._division
 
     def division_changed(self, division: Division | None) -> None:
-        """Another division is in force."""
-        self._division = division or self._first
-        self.problem = self._assignment.problem or self._other_names()
-        self._look_anew()
+        """Puts another division in force."""
+        self._division = division or self._initial_division
+        self.problem = self._assignment.problem or self._name_mismatch()
+        self._reset_convergence()
 
-    def _look_anew(self) -> None:
-        self._since = LONG_AGO
+    def _reset_convergence(self) -> None:
+        self._unreached_since = LONG_AGO
         self._reached = False
-        self._logged.clear()
+        self._logged_outcomes.clear()
 
-    def fault(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
-        """Why such a division can't be."""
+    def validate_division(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
+        """Returns why such a division is invalid, or an empty string."""
         pool = self.settings.pool if self.settings.pool is not None else capacity
         names = {entry.name for entry in self.settings.organisations}
-        return validate_limits(limits, names, set(self._assignment.serves.values()), pool)
+        return validate_limits(
+            limits, names, set(self._assignment.organisation_by_share.values()), pool
+        )
 
-    def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[Organisation, float]:
-        """Targets of the present pool under such a division; of use on the leader only."""
+    def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[OrganisationName, float]:
+        """Returns the targets of the present pool under such a division; empty unless this node
+        leads."""
         return self.reconciler.targets(limits) if self._leading else {}
 
-    # --- the leader's plan ---------------------------------------------------------------
+    # --- planning on the leader ----------------------------------------------------------
 
     def begin(self, now: Instant) -> None:
-        """Leadership begins."""
+        """Called when this node becomes leader."""
         self.reconciler.begin(now)
         self._leading = True
-        self._look_anew()
+        self._reset_convergence()
 
     def observe(self, pool: PoolState, now: Instant) -> Sequence[str]:
-        """Reckon targets; says once when they are reached, and once when they can't be."""
+        """Updates the targets. Returns a log line once when the targets of a division are reached,
+        and once when they are not reached in time."""
         self._pool = pool
-        self.reconciler.observe(pool, self._assignment.serves, self._division.limits)
-        self._reached = converged(self.reconciler.organisation_states.values(), pool.machine_cpus)
+        self.reconciler.observe(pool, self._assignment.organisation_by_share, self._division.limits)
+        self._reached = converged(
+            self.reconciler.organisation_states.values(), pool.largest_machine_cpus
+        )
         if self._reached:
-            self._since = LONG_AGO
-            return self._once("is reached")
-        if self._since == LONG_AGO:
-            self._since = now
-        if now < self._since + NOT_REACHED_AFTER_S:
+            self._unreached_since = LONG_AGO
+            return self._log_line_once("is reached")
+        if self._unreached_since == LONG_AGO:
+            self._unreached_since = now
+        if now < self._unreached_since + NOT_REACHED_AFTER_S:
             return ()
-        return self._once("is not reached")
+        return self._log_line_once("is not reached")
 
-    def _once(self, what: str) -> Sequence[str]:
-        """A line for the log, the first time that this division comes to that."""
-        if self._reached in self._logged:
+    def _log_line_once(self, outcome: str) -> Sequence[str]:
+        """Returns the log line of an outcome, the first time that the division has it."""
+        if self._reached in self._logged_outcomes:
             return ()
-        self._logged.add(self._reached)
-        return (f"division {self._division.version} {what}: {self._sums()}",)
+        self._logged_outcomes.add(self._reached)
+        return (f"division {self._division.version} {outcome}: {self._summary()}",)
 
-    def _sums(self) -> str:
+    def _summary(self) -> str:
         return "; ".join(
             f"{name} {s.held:g} of {s.target:g} CPUs"
             + (f", {s.debt:g} of debt" if s.debt else "")
-            + (f", lacks {s.lacking:g}: {self._why(name)}" if s.lacking else "")
+            + (f", lacks {s.lacking:g}: {self._lacking_reason(name)}" if s.lacking else "")
             for name, s in sorted(self.reconciler.organisation_states.items())
         )
 
-    def _why(self, name: Organisation) -> str:
-        """Where what an organisation lacks is."""
+    def _lacking_reason(self, name: OrganisationName) -> str:
+        """Returns which organisations hold what the organisation lacks, and why they keep it."""
         reasons = []
-        for other, standing in sorted(self.reconciler.organisation_states.items()):
-            if other == name or not standing.surplus:
+        for other, state in sorted(self.reconciler.organisation_states.items()):
+            if other == name or not state.surplus:
                 continue
-            if standing.debt:
-                reasons.append(f"replicas of {other} hold {standing.debt:g}")
-            if standing.surplus > standing.debt:
-                rest = standing.surplus - standing.debt
-                reasons.append(f"tasks of {other} that run hold {rest:g}")
+            if state.debt:
+                reasons.append(f"replicas of {other} hold {state.debt:g}")
+            if state.surplus > state.debt:
+                in_use = state.surplus - state.debt
+                reasons.append(f"tasks of {other} that run hold {in_use:g}")
         return ", ".join(reasons) or "nothing that others hold fits, or it is on its way"
 
     def end(self) -> None:
-        """Leadership is over: what was reckoned is old."""
+        """Called when this node stops leading; its targets are out of date."""
         self._leading = False
 
-    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
-        """Does its organisation ask for more, and hold too little?"""
-        return self.in_force and self.reconciler.below_target(share, coming)
+    def below_target(self, share: ShareNo, incoming_cpus: float = 0.0) -> bool:
+        """Returns whether the share's organisation requests more CPUs and holds too few."""
+        return self.in_force and self.reconciler.below_target(share, incoming_cpus)
 
     def meets_target(self, share: ShareNo) -> bool:
-        """Does its organisation hold all that it is entitled to?"""
+        """Returns whether the share's organisation holds at least its target."""
         return self.in_force and self.reconciler.meets_target(share)
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """May a machine be asked of an owner that may have use for it itself?"""
+        """Returns whether a machine may be requested from an owner that could use it itself."""
         return self.in_force and self.reconciler.may_take(giver, taker, cpus)
 
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
-        """Do both shares serve the same organisation?"""
+        """Returns whether both shares serve the same organisation; True while the policy is not in
+        force."""
         return not self.in_force or self.reconciler.same_organisation(one, other)
 
     def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
-        """A machine was asked for in this plan."""
+        """Counts a machine requested in this plan for the taker."""
         self.reconciler.transfer_requested(giver, taker, cpus)
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
-        """What owners are to transfer as it falls empty."""
+        """Returns what owners are to transfer as their machines become empty."""
         return self.reconciler.reassignments(now) if self.in_force else ()
 
-    # --- operators -----------------------------------------------------------------------
+    # --- status for operators ------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """What operators may see."""
+        """Returns what operators may see."""
         return {
             "problem": self.problem,
             "version": self._division.version,
             "converged": self._leading and self._reached,
-            "organisations": [self._row(entry) for entry in self._division.limits],
+            "organisations": [self._organisation_status(entry) for entry in self._division.limits],
         }
 
-    def _row(self, limits: OrganisationLimits) -> dict[str, Any]:
-        """One organisation; without its standing where this node doesn't lead."""
+    def _organisation_status(self, limits: OrganisationLimits) -> dict[str, Any]:
+        """Returns the status of one organisation; without CPU figures unless this node leads."""
         row: dict[str, Any] = {
             "organisation": limits.name,
-            "shares": sorted(s for s, n in self._assignment.serves.items() if n == limits.name),
+            "shares": sorted(
+                s for s, n in self._assignment.organisation_by_share.items() if n == limits.name
+            ),
             "minimum": limits.minimum,
             "weight": limits.weight,
             "maximum": limits.maximum,
         }
-        standing = self.reconciler.organisation_states.get(limits.name)
-        if standing is not None and self._leading and self.in_force:
+        state = self.reconciler.organisation_states.get(limits.name)
+        if state is not None and self._leading and self.in_force:
             row |= {
-                "target": round(standing.target, 3),
-                "held": standing.held,
-                "lent": round(standing.lent, 3),
-                "debt": round(standing.debt, 3),
-                "lacking": round(standing.lacking, 3),
-                "why": self._why(limits.name) if standing.lacking else "",
+                "target": round(state.target, 3),
+                "held": state.held,
+                "lent": round(state.lent, 3),
+                "debt": round(state.debt, 3),
+                "lacking": round(state.lacking, 3),
+                "why": self._lacking_reason(limits.name) if state.lacking else "",
             }
         return row
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -1,10 +1,10 @@
-"""Targets of organisations, and which machines owners are asked for to reach them.
+"""Computes the targets of organisations, and which transfers of machines are needed to reach them.
 
-Level-triggered: each round starts from the records and reports of that moment, so a new leader goes
-on and another division replaces the first. Kept between rounds is only what makes the rounds
-gentler: who is catching up (two thresholds), and when machines last went which way (a dwell time
-that doubles when they go back and forth). A new leader knows neither and starts from the strict
-end: it waits one dwell time before it asks for machines in use.
+The reconciler is level-triggered: each plan starts from the present records and reports, so a new
+leader simply continues, and a new division simply replaces the former one. The state kept between
+plans only damps oscillation: which organisations are catching up (hysteresis with two thresholds),
+and the direction and time of the last transfers (a dwell time that doubles with each reversal). A
+new leader has no such state, so it waits one dwell time before it requests machines in use.
 """
 
 from __future__ import annotations
@@ -12,77 +12,80 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from ..core.entitlement import Organisation, PoolState, Reassignment, ShareState
+from ..core.entitlement import OrganisationName, PoolState, Reassignment, ShareState
 from ..core.ids import Instant, ShareNo
 from ..core.stored_values import OrganisationLimits
 from .fairshare import Claim, allocate
 
-STOP_PART = 0.5  # of a machine that an organisation lacks when it has caught up
-MAX_DWELL_FACTOR = 8  # times the first dwell time, however often machines go back and forth
-FORGET_AFTER = 4  # longest dwell times without a change of direction, after which all is forgotten
-LEAST_CPUS = 1e-6  # less than any machine has
+CAUGHT_UP_FRACTION = 0.5  # of the largest machine: an organisation that lacks less has caught up
+MAX_DWELL_FACTOR = 8  # upper bound of a dwell time, as a multiple of the configured one
+DWELL_GROWTH_FACTOR = 2  # by which a dwell time grows with each reversal of direction
+# A direction is forgotten after so many maximum dwell times without a transfer.
+DIRECTION_MEMORY_DWELLS = 4
+CPU_TOLERANCE = 1e-6  # CPUs; less than any machine has
 
 
-class Standing(NamedTuple):
-    """How an organisation fares; all in CPUs."""
+class OrganisationState(NamedTuple):
+    """Target, holdings and demand of one organisation, in CPUs."""
 
-    target: float  # of the capacity, given what all ask for
-    entitled: float  # of the capacity, if all asked for everything
+    target: float  # its part of the capacity, given the demands of all
+    entitled: float  # its part of the capacity if every organisation had unlimited demand
     held: float
     demand: float
-    replicas: float  # held by replicas of services, which are never stopped for a cut
-    missed: float = 0.0  # what the others lack, all together
+    replicas: float  # held by replicas of services, which are not stopped for a lower target
+    lacking_elsewhere: float = 0.0  # total that the other organisations lack
 
     @property
     def lacking(self) -> float:
-        """How much less than its target it holds."""
+        """CPUs by which it is below its target."""
         return max(0.0, self.target - self.held)
 
     @property
     def surplus(self) -> float:
-        """How much more than its target it holds."""
+        """CPUs by which it is above its target."""
         return max(0.0, self.held - self.target)
 
     @property
     def debt(self) -> float:
-        """The part of the surplus that others lack and that replicas hold."""
-        return min(self.surplus, self.replicas, self.missed)
+        """The part of the surplus that replicas hold and that other organisations lack."""
+        return min(self.surplus, self.replicas, self.lacking_elsewhere)
 
     @property
     def lent(self) -> float:
-        """How much of what it is entitled to it has no use for and doesn't hold."""
+        """CPUs that it is entitled to, but neither needs nor holds."""
         return max(0.0, self.entitled - max(self.held, self.target))
 
 
-class _Direction:
-    """Which way machines in use last went between two organisations."""
+class _TransferDirection:
+    """The direction of the last transfer of machines in use between two organisations."""
 
-    __slots__ = ("at", "dwell_s", "giver")
+    __slots__ = ("dwell_s", "giver", "requested_at")
 
-    def __init__(self, giver: Organisation, at: Instant, dwell_s: float) -> None:
+    def __init__(self, giver: OrganisationName, requested_at: Instant, dwell_s: float) -> None:
         self.giver = giver
-        self.at = at
-        self.dwell_s = dwell_s  # from the last request on, before the other way
+        self.requested_at = requested_at
+        self.dwell_s = dwell_s  # after the last request, before the opposite direction is allowed
 
 
 class Reconciler:
-    """The targets of one moment, and what follows from them."""
+    """The present targets, and the transfers that follow from them."""
 
     def __init__(self, dwell_s: float) -> None:
         self.dwell_s = dwell_s
-        self.organisation_states: dict[Organisation, Standing] = {}
-        self._serves: Mapping[ShareNo, Organisation] = {}
+        self.organisation_states: dict[OrganisationName, OrganisationState] = {}
+        self._organisation_by_share: Mapping[ShareNo, OrganisationName] = {}
         self._pool = PoolState((), 0.0)
-        self._moved: dict[Organisation | None, float] = {}  # CPUs asked for in this plan
-        self._catching_up: set[Organisation] = set()
-        self._directions: dict[frozenset[Organisation], _Direction] = {}
-        self._begun = Instant(0.0)
+        # Net CPUs requested for each organisation in this plan.
+        self._requested_cpus: dict[OrganisationName | None, float] = {}
+        self._catching_up: set[OrganisationName] = set()
+        self._transfer_directions: dict[frozenset[OrganisationName], _TransferDirection] = {}
+        self._leading_since = Instant(0.0)
 
     def begin(self, now: Instant) -> None:
-        """Leadership begins."""
-        self._begun = now
+        """Resets the state of an earlier leadership."""
+        self._leading_since = now
         self._catching_up.clear()
-        self._directions.clear()
+        self._transfer_directions.clear()
         self.organisation_states = {}
 
     # --- targets -------------------------------------------------------------------------
@@ -90,179 +93,207 @@
     def observe(
         self,
         pool: PoolState,
-        serves: Mapping[ShareNo, Organisation],
+        organisation_by_share: Mapping[ShareNo, OrganisationName],
         limits: Sequence[OrganisationLimits],
     ) -> None:
-        """Reckon the targets of this moment."""
-        self._pool, self._serves = pool, serves
-        self._moved.clear()
-        self.organisation_states = self._standings(limits)
-        for name, standing in self.organisation_states.items():
-            if standing.lacking > pool.machine_cpus + LEAST_CPUS:
+        """Computes the present targets, and which organisations are catching up."""
+        self._pool, self._organisation_by_share = pool, organisation_by_share
+        self._requested_cpus.clear()
+        self.organisation_states = self._compute_states(limits)
+        for name, state in self.organisation_states.items():
+            if state.lacking > pool.largest_machine_cpus + CPU_TOLERANCE:
                 self._catching_up.add(name)
-            elif standing.lacking < STOP_PART * pool.machine_cpus:
+            elif state.lacking < CAUGHT_UP_FRACTION * pool.largest_machine_cpus:
                 self._catching_up.discard(name)
 
-    def targets(self, limits: Sequence[OrganisationLimits]) -> dict[Organisation, float]:
-        """What the organisations would get of the present pool under such limits."""
+    def targets(self, limits: Sequence[OrganisationLimits]) -> dict[OrganisationName, float]:
+        """Returns the targets that the organisations would have in the present pool under such
+        limits."""
         return self._allocate(limits, self._demands())
 
-    def _standings(self, limits: Sequence[OrganisationLimits]) -> dict[Organisation, Standing]:
+    def _compute_states(
+        self, limits: Sequence[OrganisationLimits]
+    ) -> dict[OrganisationName, OrganisationState]:
         demands = self._demands()
         targets = self._allocate(limits, demands)
         entitled = self._allocate(limits, dict.fromkeys(targets, self._capacity()))
-        found = {}
+        states = {}
         for name in targets:
-            shares = [s for s in self._pool.shares if self._serves.get(s.share) == name]
-            found[name] = Standing(
+            shares = [
+                s for s in self._pool.shares if self._organisation_by_share.get(s.share) == name
+            ]
+            states[name] = OrganisationState(
                 targets[name],
                 entitled[name],
                 sum(s.held for s in shares),
                 demands.get(name, 0.0),
                 sum(s.replicas for s in shares),
             )
-        lacking = sum(standing.lacking for standing in found.values())
+        lacking = sum(state.lacking for state in states.values())
         return {
-            name: standing._replace(missed=lacking - standing.lacking)
-            for name, standing in found.items()
+            name: state._replace(lacking_elsewhere=lacking - state.lacking)
+            for name, state in states.items()
         }
 
     def _capacity(self) -> float:
         return sum(share.held for share in self._pool.shares)
 
-    def _demands(self) -> dict[Organisation, float]:
-        demands: dict[Organisation, float] = {}
+    def _demands(self) -> dict[OrganisationName, float]:
+        demands: dict[OrganisationName, float] = {}
         for share in self._pool.shares:
-            name = self._serves.get(share.share)
+            name = self._organisation_by_share.get(share.share)
             if name is not None:
-                demands[name] = demands.get(name, 0.0) + _demand(share)
+                demands[name] = demands.get(name, 0.0) + _share_demand(share)
         return demands
 
     def _allocate(
-        self, limits: Sequence[OrganisationLimits], demands: Mapping[Organisation, float]
-    ) -> dict[Organisation, float]:
+        self, limits: Sequence[OrganisationLimits], demands: Mapping[OrganisationName, float]
+    ) -> dict[OrganisationName, float]:
         capacity = self._capacity()
         claims = [
             Claim(e.name, demands.get(e.name, 0.0), e.minimum, e.weight, e.maximum) for e in limits
         ]
-        first = allocate(capacity, claims)
-        # What is left is asked for only beyond a maximum, which binds while others ask.
-        beyond = [c._replace(minimum=float(first[c.name]), maximum=None) for c in claims]
-        return {name: float(cpus) for name, cpus in allocate(capacity, beyond).items()}
+        bounded = allocate(capacity, claims)
+        # A maximum binds only while other organisations need the capacity: what the first
+        # allocation leaves over is divided without maxima.
+        unbounded_claims = [
+            c._replace(minimum=float(bounded[c.name]), maximum=None) for c in claims
+        ]
+        return {name: float(cpus) for name, cpus in allocate(capacity, unbounded_claims).items()}
 
-    # --- what may be asked of owners -----------------------------------------------------
+    # --- requests to owners --------------------------------------------------------------
 
-    def _lacking(self, name: Organisation | None) -> float:
-        """What the organisation lacks, with what was asked for it in this plan."""
-        standing = self.organisation_states.get(name) if name is not None else None
-        if standing is None:
+    def _lacking(self, name: OrganisationName | None) -> float:
+        """Returns the CPUs that the organisation lacks after the requests of this plan; negative if
+        it is above its target."""
+        state = self.organisation_states.get(name) if name is not None else None
+        if state is None:
             return 0.0
-        return standing.target - standing.held - self._moved.get(name, 0.0)
+        return state.target - state.held - self._requested_cpus.get(name, 0.0)
 
-    def _surplus(self, name: Organisation | None) -> float:
-        if name is None:  # a share that serves nobody has a use for nothing
-            held = sum(s.held for s in self._pool.shares if s.share not in self._serves)
-            return held + self._moved.get(None, 0.0)
+    def _surplus(self, name: OrganisationName | None) -> float:
+        if name is None:  # shares without an organisation need none of their machines
+            held = sum(
+                s.held for s in self._pool.shares if s.share not in self._organisation_by_share
+            )
+            return held + self._requested_cpus.get(None, 0.0)
         return -self._lacking(name) if name in self.organisation_states else 0.0
 
-    def below_target(self, share: ShareNo, coming: float = 0.0) -> bool:
-        """Does its organisation ask for more, and lack more than part of a machine?"""
-        name = self._serves.get(share)
-        least = STOP_PART * self._pool.machine_cpus
-        return name in self._catching_up and self._lacking(name) - coming >= least
+    def below_target(self, share: ShareNo, incoming_cpus: float = 0.0) -> bool:
+        """Returns whether the share's organisation is catching up and, after it receives
+        `incoming_cpus`, still lacks at least `CAUGHT_UP_FRACTION` of the largest machine."""
+        name = self._organisation_by_share.get(share)
+        min_lacking = CAUGHT_UP_FRACTION * self._pool.largest_machine_cpus
+        return name in self._catching_up and self._lacking(name) - incoming_cpus >= min_lacking
 
     def meets_target(self, share: ShareNo) -> bool:
-        """Does its organisation hold its target or more?"""
-        return self._surplus(self._serves.get(share)) >= -LEAST_CPUS
+        """Returns whether the share's organisation holds at least its target."""
+        return self._surplus(self._organisation_by_share.get(share)) >= -CPU_TOLERANCE
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """The giver's organisation keeps its target, within half of the machine."""
+        """Returns whether the taker's organisation is below its target and the giver's organisation
+        keeps its own, within half of the machine."""
         return (
             not self.same_organisation(giver, taker)
             and self.below_target(taker)
-            and self._surplus(self._serves.get(giver)) >= cpus / 2 - LEAST_CPUS
+            and self._surplus(self._organisation_by_share.get(giver)) >= cpus / 2 - CPU_TOLERANCE
         )
 
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
-        """Do both serve the same organisation?"""
-        return self._serves.get(one) == self._serves.get(other)
+        """Returns whether both shares serve the same organisation."""
+        return self._organisation_by_share.get(one) == self._organisation_by_share.get(other)
 
     def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
-        """A machine was asked for in this plan."""
+        """Counts a machine requested in this plan for the taker, and against the giver."""
         for share, change in ((giver, -cpus), (taker, cpus)):
-            name = self._serves.get(share)
-            self._moved[name] = self._moved.get(name, 0.0) + change
+            name = self._organisation_by_share.get(share)
+            self._requested_cpus[name] = self._requested_cpus.get(name, 0.0) + change
 
     def reassignments(self, now: Instant) -> list[Reassignment]:
-        """Machines in use that are to go, as they fall empty, to who is short of its target."""
-        if now < self._begun + self.dwell_s:
+        """Returns which machines in use are to be transferred, as they become empty, to shares
+        below their target."""
+        if now < self._leading_since + self.dwell_s:
             return []
         takers = self._takers()
         givers = self._givers()
-        found: list[Reassignment] = []
+        reassignments: list[Reassignment] = []
         for taker, lacking in takers:
-            for n, (giver, surplus) in enumerate(givers):
+            for index, (giver, surplus) in enumerate(givers):
                 cpus = min(lacking, surplus)
-                if cpus <= LEAST_CPUS or not self._may_turn(giver, taker, now):
+                if cpus <= CPU_TOLERANCE or not self._allow_direction(giver, taker, now):
                     continue
-                found.append(Reassignment(giver, taker, cpus))
-                givers[n] = (giver, surplus - cpus)
+                reassignments.append(Reassignment(giver, taker, cpus))
+                givers[index] = (giver, surplus - cpus)
                 lacking -= cpus
-        return found
+        return reassignments
 
     def _takers(self) -> list[tuple[ShareNo, float]]:
-        """Shares that are short, and by how much: what an organisation lacks is parted by what
-        its shares ask for."""
-        found = []
+        """Returns the shares below their target with the CPUs that each lacks: what an organisation
+        lacks is divided in proportion to what waits in its shares."""
+        takers = []
         for share in self._pool.shares:
-            if share.asked > 0 and self.below_target(share.share):
-                name = self._serves[share.share]
-                asked = sum(s.asked for s in self._pool.shares if self._serves.get(s.share) == name)
-                found.append((share.share, self._lacking(name) * share.asked / asked))
-        return found
+            if share.waiting > 0 and self.below_target(share.share):
+                name = self._organisation_by_share[share.share]
+                total_waiting = sum(
+                    s.waiting
+                    for s in self._pool.shares
+                    if self._organisation_by_share.get(s.share) == name
+                )
+                takers.append((share.share, self._lacking(name) * share.waiting / total_waiting))
+        return takers
 
     def _givers(self) -> list[tuple[ShareNo, float]]:
-        """Shares that hold more than the target, and by how much."""
-        found = []
+        """Returns the shares above their target with the surplus CPUs of each: the surplus of an
+        organisation is divided in proportion to what its shares hold."""
+        givers = []
         for share in self._pool.shares:
-            name = self._serves.get(share.share)
+            name = self._organisation_by_share.get(share.share)
             surplus = self._surplus(name)
             if share.held > 0 and surplus > 0:
-                held = sum(s.held for s in self._pool.shares if self._serves.get(s.share) == name)
-                found.append((share.share, surplus * share.held / held))
-        return found
-
-    # --- back and forth ------------------------------------------------------------------
-
-    def _may_turn(self, giver: ShareNo, taker: ShareNo, now: Instant) -> bool:
-        """Not back within the dwell time; notes that machines go this way now."""
-        to = self._serves[taker]
-        name = self._serves.get(giver)
+                held = sum(
+                    s.held
+                    for s in self._pool.shares
+                    if self._organisation_by_share.get(s.share) == name
+                )
+                givers.append((share.share, surplus * share.held / held))
+        return givers
+
+    # --- dwell times ---------------------------------------------------------------------
+
+    def _allow_direction(self, giver: ShareNo, taker: ShareNo, now: Instant) -> bool:
+        """Returns whether machines in use may be transferred in this direction, and records it if
+        so. The opposite direction is allowed only after the dwell time."""
+        receiver = self._organisation_by_share[taker]
+        name = self._organisation_by_share.get(giver)
         if name is None:
             return True
-        pair = frozenset((name, to))
-        last = self._directions.get(pair)
-        longest = MAX_DWELL_FACTOR * self.dwell_s
-        if last is None or now > last.at + FORGET_AFTER * longest:
-            self._directions[pair] = _Direction(name, now, self.dwell_s)
+        pair = frozenset((name, receiver))
+        last = self._transfer_directions.get(pair)
+        max_dwell_s = MAX_DWELL_FACTOR * self.dwell_s
+        if last is None or now > last.requested_at + DIRECTION_MEMORY_DWELLS * max_dwell_s:
+            self._transfer_directions[pair] = _TransferDirection(name, now, self.dwell_s)
             return True
         if last.giver == name:
-            last.at = now
+            last.requested_at = now
             return True
-        if now < last.at + last.dwell_s:
+        if now < last.requested_at + last.dwell_s:
             return False
-        self._directions[pair] = _Direction(name, now, min(2 * last.dwell_s, longest))
+        self._transfer_directions[pair] = _TransferDirection(
+            name, now, min(DWELL_GROWTH_FACTOR * last.dwell_s, max_dwell_s)
+        )
         return True
 
 
-def _demand(share: ShareState) -> float:
-    """An owner that was not heard lately may need all that its share holds."""
-    return share.used + share.asked if share.current else share.held
+def _share_demand(share: ShareState) -> float:
+    """Returns the CPUs that the share needs; without a valid report of its owner, all that it
+    holds may be needed."""
+    return share.used + share.waiting if share.report_valid else share.held
 
 
-def converged(organisation_states: Iterable[Standing], machine_cpus: float) -> bool:
-    """Does everybody hold its target, within a machine, or lack no more than debt?"""
-    listed = list(organisation_states)
-    debt = sum(standing.debt for standing in listed)
-    lacking = sum(s.lacking for s in listed if s.lacking > machine_cpus + LEAST_CPUS)
-    return lacking <= debt + LEAST_CPUS
+def converged(states: Iterable[OrganisationState], largest_machine_cpus: float) -> bool:
+    """Returns whether every organisation holds its target within one machine, or those that don't
+    lack no more than the total debt."""
+    listed = list(states)
+    debt = sum(state.debt for state in listed)
+    lacking = sum(s.lacking for s in listed if s.lacking > largest_machine_cpus + CPU_TOLERANCE)
+    return lacking <= debt + CPU_TOLERANCE
--- a/runcourse/entitlements/settings.py
+++ b/runcourse/entitlements/settings.py
@@ -1,4 +1,4 @@
-"""The entitlements file: organisations, their teams and what they begin with."""
+"""The entitlements file: organisations, their teams and their initial limits."""
 
 from __future__ import annotations
 
@@ -16,40 +16,44 @@
 from ..errors import SettingsError
 from ..sexp_settings import Entry, read_entries, to_struct
 
-Name = Annotated[str, Meta(min_length=1, max_length=200)]
-MOST_CPUS = 1e9
-Positive = Annotated[float, Meta(gt=0, le=MOST_CPUS)]
-NonNegative = Annotated[float, Meta(ge=0, le=MOST_CPUS)]
+MAX_NAME_LENGTH = 200
+MAX_CPUS = 1e9
+MAX_DWELL_S = 30
+
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Positive = Annotated[float, Meta(gt=0, le=MAX_CPUS)]
+NonNegative = Annotated[float, Meta(ge=0, le=MAX_CPUS)]
 
 HEAD = "entitlements"
 ORGANISATION = "organisation"
 
 
 class Organisation(Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """A named set of teams; the numbers hold until a division is stored."""
+    """A named set of teams; its limits apply until a division is stored."""
 
     name: Name
     teams: Annotated[tuple[Name, ...], Meta(min_length=1)]
     minimum: NonNegative = 0.0  # CPUs
     weight: Positive = 1.0
-    maximum: Positive | None = None  # CPUs; None: no bound
+    maximum: Positive | None = None  # CPUs; None: unlimited
 
     @property
     def limits(self) -> OrganisationLimits:
-        """What the organisation begins with."""
+        """The limits of the organisation in the initial division."""
         return OrganisationLimits(self.name, self.minimum, self.weight, self.maximum)
 
 
 class EntitlementSettings(Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """All that the file may say; durations in seconds."""
+    """All settings of the file; durations are in seconds."""
 
     organisations: tuple[Organisation, ...] = ()
-    pool: Positive | None = None  # CPUs that minima may add up to; None: what is on record
-    dwell: Annotated[float, Meta(gt=0, le=30)] = 5.0  # before machines in use are asked back
+    pool: Positive | None = None  # CPUs that the minima may add up to; None: the CPUs on record
+    # Wait before machines in use are requested in the opposite direction, and after a takeover.
+    dwell: Annotated[float, Meta(gt=0, le=MAX_DWELL_S)] = 5.0
 
 
 def load_entitlements(path: Path, platform: Platform) -> EntitlementSettings:
-    """Read and check the file; raises `SettingsError` naming file, field and reason."""
+    """Reads and validates the file; raises `SettingsError` naming file, field and reason."""
     entries = read_entries(path, HEAD)
     organisations = [
         _organisation(path, entry, number)
@@ -59,7 +63,7 @@
     if any(str(entry[0]) == "organisations" for entry in others):
         raise SettingsError(f"{path}: organisations: unknown setting")
     settings = to_struct(path, others, EntitlementSettings)
-    _check(path, organisations, platform)
+    _validate_teams(path, organisations, platform)
     minima = sum(entry.minimum for entry in organisations)
     if settings.pool is not None and minima > settings.pool:
         raise SettingsError(f"{path}: pool: less than the minima of {minima:g} CPUs")
@@ -79,8 +83,9 @@
     return organisation
 
 
-def _check(path: Path, organisations: list[Organisation], platform: Platform) -> None:
-    """Every team of the platform in one organisation, and a share for each organisation."""
+def _validate_teams(path: Path, organisations: list[Organisation], platform: Platform) -> None:
+    """Checks that every team of the platform is in one organisation, and that there is a share for
+    each organisation."""
     if not organisations:
         raise SettingsError(f"{path}: {ORGANISATION}: none is given")
     if len(organisations) > platform.settings.nodes:
@@ -88,9 +93,9 @@
             f"{path}: {ORGANISATION}: {len(organisations)} of them, but only"
             f" {platform.settings.nodes} shares"
         )
-    _once(path, f"{ORGANISATION}: the name", (entry.name for entry in organisations))
+    _require_unique(path, f"{ORGANISATION}: the name", (entry.name for entry in organisations))
     listed = [team for entry in organisations for team in entry.teams]
-    _once(path, "teams: the team", listed)
+    _require_unique(path, "teams: the team", listed)
     known = {team.name for team in platform.settings.teams}
     for team in listed:
         if team not in known:
@@ -100,7 +105,7 @@
         raise SettingsError(f"{path}: teams: in no organisation: {', '.join(missing)}")
 
 
-def _once(path: Path, what: str, names: Iterable[str]) -> None:
+def _require_unique(path: Path, what: str, names: Iterable[str]) -> None:
     for name, count in Counter(names).items():
         if count > 1:
             raise SettingsError(f"{path}: {what} {name!r} is given twice")
--- a/runcourse/entitlements/team_mapping.py
+++ b/runcourse/entitlements/team_mapping.py
@@ -1,7 +1,7 @@
-"""Which share serves which organisation: dealt when the store is founded, read from then on.
+"""The mapping of teams to shares: written when the store is first used, read from then on.
 
-The stored mapping deals its n-th name to share n modulo the number of shares, in every version
-of this program. With fillers, names that no team has, any dealing can be written in that form.
+The stored mapping assigns its n-th name to share n modulo the number of shares, in every version
+of this program. With fillers, names that no team has, any mapping can be written in that form.
 """
 
 from __future__ import annotations
@@ -9,42 +9,43 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from ..core.entitlement import TeamShares
+from ..core.entitlement import ShareOfTeam
 from ..core.ids import ShareNo, Team
 from .settings import Organisation
 
-FILLER = ""  # no team is named so
+FILLER = ""  # no team has an empty name
 
 
 class Assignment(NamedTuple):
-    """Whom each share serves, and what stands against it."""
+    """Which organisation each share serves, by the stored team mapping."""
 
-    serves: Mapping[ShareNo, str]  # shares without teams are absent
-    problem: str  # empty if every share serves one organisation at the most
+    organisation_by_share: Mapping[ShareNo, str]  # shares without teams are absent
+    problem: str  # empty if every share serves at most one organisation
 
 
 def count_shares(organisations: Sequence[Organisation], shares: int) -> dict[str, int]:
-    """How many shares each organisation gets: one at least, the others in proportion to
-    weight, and none more than it has teams. The order of the input doesn't matter."""
+    """Returns how many shares each organisation gets: at least one, further ones in proportion to
+    weight, and never more than it has teams. The result doesn't depend on the input's order."""
     ordered = sorted(organisations, key=lambda entry: entry.name)
-    number = {entry.name: 1 for entry in ordered}
+    counts = {entry.name: 1 for entry in ordered}
     for _ in range(shares - len(ordered)):
-        growing = [e for e in ordered if number[e.name] < len(e.teams)]
+        growing = [e for e in ordered if counts[e.name] < len(e.teams)]
         if not growing:
             break
-        # The largest weight for each share that it would then have.
-        most = max(growing, key=lambda e: e.weight / (number[e.name] + 1))
-        number[most.name] += 1
-    return number
+        # The next share goes to the organisation that would then have most weight per share.
+        chosen = max(growing, key=lambda e: e.weight / (counts[e.name] + 1))
+        counts[chosen.name] += 1
+    return counts
 
 
-def deal(organisations: Sequence[Organisation], shares: int) -> list[str]:
-    """Team names for the stored mapping, such that a share gets teams of one organisation."""
+def order_teams(organisations: Sequence[Organisation], shares: int) -> list[str]:
+    """Returns the names of the stored mapping, such that the teams of a share belong to one
+    organisation."""
     columns: list[list[str]] = []
-    number = count_shares(organisations, shares)
+    counts = count_shares(organisations, shares)
     for entry in sorted(organisations, key=lambda entry: entry.name):
-        count, teams = number[entry.name], sorted(entry.teams)
-        columns += [teams[n::count] for n in range(count)]
+        count, teams = counts[entry.name], sorted(entry.teams)
+        columns += [teams[first::count] for first in range(count)]
     columns += [[] for _ in range(shares - len(columns))]
     rows = max(map(len, columns))
     return [
@@ -53,20 +54,23 @@
 
 
 def derive_assignment(
-    organisations: Sequence[Organisation], of_team: TeamShares, shares: int
+    organisations: Sequence[Organisation], share_of_team: ShareOfTeam, shares: int
 ) -> Assignment:
-    """Whom each share serves, as the store deals the teams."""
+    """Returns which organisation each share serves, given the share of each team."""
     found: dict[ShareNo, dict[str, list[str]]] = {}
     for entry in sorted(organisations, key=lambda entry: entry.name):
         for team in sorted(entry.teams):
-            share = of_team(Team(team))
+            share = share_of_team(Team(team))
             found.setdefault(share, {}).setdefault(entry.name, []).append(team)
     mixed = {share: teams for share, teams in sorted(found.items()) if len(teams) > 1}
-    serves = {share: next(iter(teams)) for share, teams in found.items() if len(teams) == 1}
-    return Assignment(serves, _problem(mixed))
+    organisation_by_share = {
+        share: next(iter(teams)) for share, teams in found.items() if len(teams) == 1
+    }
+    return Assignment(organisation_by_share, _describe_mixed(mixed))
 
 
-def _problem(mixed: Mapping[ShareNo, Mapping[str, list[str]]]) -> str:
+def _describe_mixed(mixed: Mapping[ShareNo, Mapping[str, list[str]]]) -> str:
+    """Returns which shares serve several organisations, as a problem; empty if none does."""
     if not mixed:
         return ""
     parts = (
