--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -18,7 +18,7 @@
 from .jobs import Job
 from .machine import Machine
 from .machines import MOST_LISTED, Fleet
-from .placement import NOTHING, Size, fits_times
+from .placement import ZERO_SIZE, Size, fits_times
 from .preemption import Preemption
 from .quota import Quota
 from .shares import Shares
@@ -236,4 +236,4 @@
             ran = now - placement.ran_since if placement.ran_since else 0.0
             if placement.stopping or job.spec.estimate_s - ran < FREE_SOON_S:
                 room = room.plus(placement.size)
-        return room if machine.type else NOTHING
+        return room if machine.type else ZERO_SIZE
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -20,7 +20,7 @@
     make_token,
 )
 from .jobs import Job
-from .placement import NOTHING, Size
+from .placement import ZERO_SIZE, Size
 from .shares import Holding
 from .stored_values import MachineValue
 from .types import MachineType
@@ -110,7 +110,7 @@
         self.attempt = attempt
         self.machine = machine
         self.job = job
-        self.size = job.size if job else NOTHING
+        self.size = job.size if job else ZERO_SIZE
         self.stage = "sent"  # sent, fetching, waiting (for its gang), running, saving, ended
         self.stage_before = ""  # once ended: the one before
         self.cause = ""
@@ -211,9 +211,9 @@
         self.up_since = Instant(0.0)
         self.notice_until: Instant | None = None
         self.placements: dict[Key, Placement] = {}
-        self.used = NOTHING
+        self.used = ZERO_SIZE
         self.reservations: dict[TaskId, Size] = {}  # room kept for tasks that are being moved
-        self.room = NOTHING
+        self.room = ZERO_SIZE
         self.room_level = 0
         self.ranks: dict[int, float] = {}  # CPUs of what is on it, by rank
         self.fetches: dict[str, float] | None = None  # images under way; None: to be counted
@@ -279,7 +279,7 @@
         if self.index is not None:
             self.index.allocated(used.cpus - self.used.cpus, 0.0)
         self.used = used
-        self.room = self.type.size.minus(used) if self.type else NOTHING
+        self.room = self.type.size.minus(used) if self.type else ZERO_SIZE
         for size in self.reservations.values():
             self.room = self.room.minus(size)
         before, self.room_level = self.room_level, room_level(self.room.cpus)
@@ -294,7 +294,7 @@
 
     def emptied(self) -> None:
         """Nothing is placed on it any more: no rounding is left over."""
-        self.use(NOTHING)
+        self.use(ZERO_SIZE)
         self.ranks.clear()
         self.add_lasting(-self.lasting)
 
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -36,7 +36,7 @@
         return Size(self.cpus * count, self.memory * count, self.gpus * count)
 
 
-NOTHING = Size(0.0, 0.0, 0.0)
+ZERO_SIZE = Size(0.0, 0.0, 0.0)
 
 
 def progress(config: Size, allocated: Size, task: Size) -> float:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -15,7 +15,7 @@
 from .machine import Machine, Placement
 from .machines import Fleet
 from .order import Order
-from .placement import NOTHING, Size
+from .placement import ZERO_SIZE, Size
 from .quota import Quota
 from .turn import Turn
 from .work import Work, fetch_s, permits, zone_open
@@ -222,8 +222,8 @@
                 or (work is not None and self.order.overdue(work))
             ):
                 continue
-            if self.quota.may_stop(job, guaranteed, placement, more.get(team, NOTHING)):
-                more[team] = more.get(team, NOTHING).plus(placement.size)
+            if self.quota.may_stop(job, guaranteed, placement, more.get(team, ZERO_SIZE)):
+                more[team] = more.get(team, ZERO_SIZE).plus(placement.size)
                 victims.append(placement)
                 room = room.plus(placement.size)
         return victims if size.fits(room) else None
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -9,7 +9,7 @@
 from .ids import Team
 from .jobs import Job
 from .machine import Placement
-from .placement import NOTHING, Size, fits_times
+from .placement import ZERO_SIZE, Size, fits_times
 
 SLACK = 1e-6
 
@@ -37,7 +37,7 @@
 
     def held(self, team: Team) -> Size:
         """What the team's placements take."""
-        return self._held.get(team, NOTHING)
+        return self._held.get(team, ZERO_SIZE)
 
     def add(self, placement: Placement) -> None:
         """The placement counts from now on."""
@@ -53,7 +53,7 @@
         """The placement was told to stop."""
         if placement.job is not None:
             team = Team(placement.job.spec.team)
-            self.stopping[team] = self.stopping.get(team, NOTHING).plus(placement.size)
+            self.stopping[team] = self.stopping.get(team, ZERO_SIZE).plus(placement.size)
 
     def remove(self, placement: Placement) -> None:
         """The placement counts no longer."""
@@ -77,7 +77,7 @@
             return f"more than the limit of team {job.spec.team}"
         return None
 
-    def allows(self, job: Job, unlocated: Size = NOTHING) -> bool:
+    def allows(self, job: Job, unlocated: Size = ZERO_SIZE) -> bool:
         """Does one more task stay within the team's limit? `unlocated`: tasks of the team
         that may be running where this owner can't see them yet."""
         team = Team(job.spec.team)
@@ -113,7 +113,7 @@
             Size(limits.cpus - held.cpus, 0.0, limits.gpus - held.gpus),
         )
 
-    def beyond(self, team: Team, stopping: Size = NOTHING) -> bool:
+    def beyond(self, team: Team, stopping: Size = ZERO_SIZE) -> bool:
         """Does the team hold more than its guarantee, even without what is being stopped?"""
         limits = self.teams.get(team)
         if limits is None:
@@ -133,7 +133,7 @@
         )
 
     def may_stop(
-        self, waiting: Job, guaranteed: bool, victim: Placement, stopping: Size = NOTHING
+        self, waiting: Job, guaranteed: bool, victim: Placement, stopping: Size = ZERO_SIZE
     ) -> bool:
         """PROTOCOL's "Preemption": a higher rank, or a guarantee against borrowed room.
 
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -9,7 +9,7 @@
 from .ids import JobId, MachineId, Team
 from .jobs import Job
 from .machine import Machine
-from .placement import NOTHING, Size
+from .placement import ZERO_SIZE, Size
 from .shares import Holding
 
 MachineKind = tuple[bool, tuple[str, ...] | None, str | None]  # spot, types, zone
@@ -39,4 +39,4 @@
 
     def unlocated_of(self, team: str) -> Size:
         """What the team may be running where this owner can't see it yet."""
-        return self.unlocated.get(Team(team), NOTHING)
+        return self.unlocated.get(Team(team), ZERO_SIZE)
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -10,7 +10,7 @@
 from .jobs import Job
 from .machine import Machine
 from .machines import Fleet
-from .placement import NOTHING, Size
+from .placement import ZERO_SIZE, Size
 from .shares import Holding, Shares
 from .work import Work, permits
 
@@ -68,7 +68,7 @@
         for job, count in self._candidates(holding):
             if count > 0 and self.may_hide(job, holding, unsettled):
                 team = Team(job.spec.team)
-                found[team] = found.get(team, NOTHING).plus(job.size.times(count))
+                found[team] = found.get(team, ZERO_SIZE).plus(job.size.times(count))
         most = self._most(holding)
         return {team: Size(*map(min, size, most)) for team, size in found.items()}
 
@@ -87,7 +87,7 @@
 
     def _most(self, holding: Holding) -> Size:
         """What the machines that are not settled hold together."""
-        most = NOTHING
+        most = ZERO_SIZE
         for machine in self.fleet.of_share(holding.number).unsettled():
             if machine.type is None:
                 return Size(math.inf, math.inf, math.inf)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from runcourse.core.placement import NOTHING, TINY_CPU, Size, fits_times, progress
+from runcourse.core.placement import TINY_CPU, ZERO_SIZE, Size, fits_times, progress
 
 PM = Size(32, 128)  # 4 GB per CPU
 
 
 def test_empty_machine_counts_as_on_target() -> None:
     # current = target = 4, next = 10/4 = 2.5: 0 - 1.5, and the factor is 1 + 0/32.
-    assert progress(PM, NOTHING, Size(4, 10)) == pytest.approx(-1.5)
+    assert progress(PM, ZERO_SIZE, Size(4, 10)) == pytest.approx(-1.5)
 
 
 def test_a_task_that_balances_gains() -> None:
@@ -23,7 +23,7 @@
 
 
 def test_a_task_without_cpu_counts_as_a_tiny_request() -> None:
-    assert progress(PM, NOTHING, Size(0, 1)) == pytest.approx(-(1 / TINY_CPU - 4))
+    assert progress(PM, ZERO_SIZE, Size(0, 1)) == pytest.approx(-(1 / TINY_CPU - 4))
     # 8 CPUs, 16 GB: 2, then 20/(8 + tiny): nearly 2.5, half a GB per CPU nearer.
     assert progress(PM, Size(8, 16), Size(0, 4)) == pytest.approx(0.5, abs=1e-4)
 
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -10,7 +10,7 @@
 from runcourse.core.image_supply import HeldImages
 from runcourse.core.jobs import Job
 from runcourse.core.order import AGED_S
-from runcourse.core.placement import NOTHING
+from runcourse.core.placement import ZERO_SIZE
 from runcourse.core.preemption import MIN_RUNTIME_S
 from runcourse.core.task_placement import AGED_PART
 from runcourse.core.work import Work
@@ -39,7 +39,7 @@
     # One task's room on a machine that holds a and b: neither the first nor the second takes it.
     for m in node.fleet.of_share(share.number):
         if m is not machines[0]:
-            m.room = NOTHING
+            m.room = ZERO_SIZE
     for work in works:
         work.job.submitted = node.context.now
         scheduler.enqueue(work)
