--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-TINY_CPU = 1e-6  # a task that asks for no CPU counts as asking for this much
+MIN_CPUS = 1e-6  # a task that asks for no CPU counts as asking for this much
 
 
 class Size(NamedTuple):
@@ -45,8 +45,8 @@
     Positive: the task brings the ratio nearer. A move away from it weighs more the
     fuller the machine, so that unbalancing tasks go where balance can still be restored.
     """
-    target = config.memory / max(config.cpus, TINY_CPU)
-    cpus = max(task.cpus, TINY_CPU)
+    target = config.memory / max(config.cpus, MIN_CPUS)
+    cpus = max(task.cpus, MIN_CPUS)
     if allocated.cpus > 0:
         current = allocated.memory / allocated.cpus
         following = (allocated.memory + task.memory) / (allocated.cpus + cpus)
@@ -55,7 +55,7 @@
         following = task.memory / cpus
     gain = abs(current - target) - abs(following - target)
     if gain < 0:
-        gain *= 1.0 + allocated.cpus / max(config.cpus, TINY_CPU)
+        gain *= 1.0 + allocated.cpus / max(config.cpus, MIN_CPUS)
     return gain
 
 
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -5,7 +5,7 @@
 from .context import Context
 from .jobs import Job
 from .machine import Machine
-from .placement import TINY_CPU, Size, progress
+from .placement import MIN_CPUS, Size, progress
 from .policy import NoPolicy, PlacementPolicy
 from .work import fetch_s
 
@@ -50,7 +50,7 @@
         gather only up to a part of a machine, since its loss takes them all at once: to half
         of it where they are few, further where it holds a small part of the share's."""
         assert machine.type is not None
-        cpus = max(machine.type.cpus, TINY_CPU)
+        cpus = max(machine.type.cpus, MIN_CPUS)
         lasting = machine.lasting / cpus
         most = max(FEW_LASTING, min(MOST_LASTING, AT_RISK * self._lasting / cpus))
         if job.spec.service and lasting >= most:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runcourse.core.placement import TINY_CPU, ZERO_SIZE, Size, fits_times, progress
+from runcourse.core.placement import MIN_CPUS, ZERO_SIZE, Size, fits_times, progress
 
 PM = Size(32, 128)  # 4 GB per CPU
 
@@ -23,7 +23,7 @@
 
 
 def test_a_task_without_cpu_counts_as_a_tiny_request() -> None:
-    assert progress(PM, ZERO_SIZE, Size(0, 1)) == pytest.approx(-(1 / TINY_CPU - 4))
+    assert progress(PM, ZERO_SIZE, Size(0, 1)) == pytest.approx(-(1 / MIN_CPUS - 4))
     # 8 CPUs, 16 GB: 2, then 20/(8 + tiny): nearly 2.5, half a GB per CPU nearer.
     assert progress(PM, Size(8, 16), Size(0, 4)) == pytest.approx(0.5, abs=1e-4)
 
