--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -18,7 +18,7 @@
 from .jobs import Job
 from .machine import Machine
 from .machines import MOST_LISTED, Fleet
-from .placement import ZERO_SIZE, Size, fits_times
+from .placement import ZERO_SIZE, Size, count_fitting
 from .preemption import Preemption
 from .quota import Quota
 from .shares import Shares
@@ -121,7 +121,7 @@
     def _fill(self, work: Work, machines: list[Machine]) -> Plan | None:
         job, n = work.job, len(work.pending)
         room = {
-            m.id: min(fits_times(job.size, m.room), MOST_LISTED - len(m.placements))
+            m.id: min(count_fitting(job.size, m.room), MOST_LISTED - len(m.placements))
             for m in machines
         }
         if sum(room.values()) < n:
@@ -206,10 +206,10 @@
         job, n = work.job, len(work.pending)
         zones: dict[str, list[tuple[int, int, Machine]]] = {}
         for machine in machines:
-            soon = fits_times(job.size, self._soon(machine))
+            soon = count_fitting(job.size, self._soon(machine))
             if soon and permits(job, machine):
                 zone = machine.record.zone if job.spec.together else ""
-                free = fits_times(job.size, machine.room)
+                free = count_fitting(job.size, machine.room)
                 zones.setdefault(zone, []).append((free, soon, machine))
         best: tuple[int, list[Machine]] | None = None
         for zone in sorted(zones):
--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -10,7 +10,7 @@
 from ..ids import Instant, ShareNo
 from ..machine import Machine
 from ..machines import Fleet
-from ..placement import Size, fits_times
+from ..placement import Size, count_fitting
 from ..scheduler import Scheduler
 
 Offering = tuple[str, str, bool]  # machine type, zone, spot
@@ -123,7 +123,7 @@
     for machine in fleet.of_share(share).with_room(size):
         if (spot or not machine.record.spot) and fleet.usable(machine):
             zone = machine.record.zone
-            room[zone] = room.get(zone, 0) + fits_times(size, machine.room)
+            room[zone] = room.get(zone, 0) + count_fitting(size, machine.room)
     return room
 
 
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -9,7 +9,7 @@
 from ..context import Context
 from ..ids import START, Instant, MachineId, ShareNo, later
 from ..machines import Fleet
-from ..placement import fits_times
+from ..placement import count_fitting
 from ..store import Store
 from ..stored_values import LEADER
 from ..types import MachineType, Outcome, Rent
@@ -107,7 +107,7 @@
         now = self.context.now
         options: list[HireOption] = []
         for type_ in self.fleet.types.values():
-            tasks = fits_times(demand.size, type_.size)
+            tasks = count_fitting(demand.size, type_.size)
             if not tasks:
                 continue
             for zone in type_.zones or self.context.platform.settings.zones:
@@ -162,7 +162,7 @@
                 _, type_, _, spot = min(options, key=lambda o: (o.price, o.type.name, o.spot))
                 zones = tuple(sorted(o.zone for o in options if o.type is type_ and o.spot == spot))
                 group = _HireGroup(share, type_.name, spot, zones)
-                tasks_per_machine = fits_times(demand.size, type_.size)
+                tasks_per_machine = count_fitting(demand.size, type_.size)
                 wanted[group] = wanted.get(group, 0.0) + demand.count / tasks_per_machine
         return wanted
 
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -9,7 +9,7 @@
 from ..entitlement import EntitlementPolicy, PoolState, ShareState
 from ..ids import ShareNo
 from ..machines import Fleet
-from ..placement import fits_times
+from ..placement import count_fitting
 from .demand import LOAD_VALID_S, Demand, LoadReport, Offering, accepts
 
 Unmet = Mapping[ShareNo, list[Demand]]
@@ -85,7 +85,7 @@
         suitable_cpus = 0.0
         for (name, zone, spot), machines in self._offerings.items():
             type_ = self.fleet.types.get(name)
-            tasks = fits_times(demand.size, type_.size) if type_ is not None else 0
+            tasks = count_fitting(demand.size, type_.size) if type_ is not None else 0
             if type_ is not None and tasks and accepts(demand, name, zone, spot):
                 suitable_cpus += machines * type_.cpus
                 each = type_.cpus / tasks
@@ -107,7 +107,7 @@
                 demand.count > 0
                 and not self.policy.same_organisation(share, other)
                 and accepts(demand, type_, zone, spot)
-                and fits_times(demand.size, self.fleet.types[type_].size) > 0
+                and count_fitting(demand.size, self.fleet.types[type_].size) > 0
                 for other, demand in self._precedent
             )
         )
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -11,7 +11,7 @@
 from ..ids import LONG_AGO, Instant, MachineId, Member, ShareNo
 from ..machine import Record
 from ..machines import Fleet
-from ..placement import fits_times
+from ..placement import count_fitting
 from ..scheduler import Scheduler
 from ..shares import Shares
 from ..store import Store
@@ -260,7 +260,7 @@
             for offering, machines in left.items():
                 if machines <= 0 or not accepts(demand, *offering):
                     continue
-                each = fits_times(demand.size, self.fleet.types[offering[0]].size)
+                each = count_fitting(demand.size, self.fleet.types[offering[0]].size)
                 if each and demand.count > 0:
                     tasks = min(demand.count, math.floor(machines * each + COUNT_ROUNDING))
                     demand.count -= tasks
@@ -288,7 +288,7 @@
                 and offering[1] in demand.missing_by_zone
                 and accepts(demand, *offering)
             ):
-                each = fits_times(demand.size, self.fleet.types[offering[0]].size)
+                each = count_fitting(demand.size, self.fleet.types[offering[0]].size)
                 demand.missing_by_zone[offering[1]] -= math.floor(machines * each + COUNT_ROUNDING)
         zone = min(demand.missing_by_zone, key=lambda z: demand.missing_by_zone[z], default=None)
         if zone is None or demand.missing_by_zone[zone] > 0:
@@ -296,7 +296,7 @@
         wanted = demand.hire - demand.room.get(zone, 0)
         demand.count = 0
         for offering, machines in left.items():
-            each = fits_times(demand.size, self.fleet.types[offering[0]].size)
+            each = count_fitting(demand.size, self.fleet.types[offering[0]].size)
             if offering[1] == zone and each and wanted > 0 and accepts(demand, *offering):
                 tasks = min(wanted, math.floor(machines * each + COUNT_ROUNDING))
                 wanted -= tasks
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -11,7 +11,7 @@
 from ..ids import Instant, ShareNo
 from ..machine import Record
 from ..machines import Fleet
-from ..placement import fits_times
+from ..placement import count_fitting
 from ..shares import Shares
 from ..versions import DIVISIONS, Versions
 from .demand import LOAD_VALID_S, Demand, LoadReport, accepts
@@ -77,7 +77,7 @@
                     for entry in list(idle.get(other, ())):
                         seconds, id, record = entry
                         type_ = self.fleet.types[record.type]
-                        tasks = fits_times(demand.size, type_.size)
+                        tasks = count_fitting(demand.size, type_.size)
                         if demand.count <= 0 or seconds < MIN_IDLE_S:
                             break
                         offering = (record.type, record.zone, record.spot)
@@ -124,7 +124,7 @@
         return any(
             demand.count > 0
             and accepts(demand, record.type, record.zone, record.spot)
-            and fits_times(demand.size, size) > 0
+            and count_fitting(demand.size, size) > 0
             for demand in unmet.get(share, ())
         )
 
@@ -142,7 +142,7 @@
         for other in others:
             for seconds, _, record in idle.get(other, ()):
                 if seconds >= MIN_IDLE_S and accepts(demand, record.type, record.zone, record.spot):
-                    tasks = fits_times(demand.size, self.fleet.types[record.type].size)
+                    tasks = count_fitting(demand.size, self.fleet.types[record.type].size)
                     room_by_zone[record.zone] = room_by_zone.get(record.zone, 0) + tasks
         sufficient = [
             zone
@@ -236,7 +236,7 @@
         A gang bound to one zone needs a machine that holds all of its tasks.
         """
         return not demand.block or any(
-            fits_times(demand.size, t.size) >= demand.waiting for t in self.fleet.types.values()
+            count_fitting(demand.size, t.size) >= demand.waiting for t in self.fleet.types.values()
         )
 
     def request_yields(self, cpus: dict[ShareNo, float]) -> None:
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -59,7 +59,7 @@
     return gain
 
 
-def fits_times(task: Size, room: Size) -> int:
+def count_fitting(task: Size, room: Size) -> int:
     """How many such tasks fit into the room."""
     counts = [int((have + 1e-9) / need) for need, have in zip(task, room, strict=True) if need > 0]
     return max(0, min(counts)) if counts else 1_000_000
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -9,7 +9,7 @@
 from .ids import Team
 from .jobs import Job
 from .machine import Placement
-from .placement import ZERO_SIZE, Size, fits_times
+from .placement import ZERO_SIZE, Size, count_fitting
 
 SLACK = 1e-6
 
@@ -108,7 +108,7 @@
         if limits is None or (limits.cpus <= 0 and limits.gpus <= 0):
             return 0
         held = self.held(Team(job.spec.team))
-        return fits_times(
+        return count_fitting(
             Size(job.size.cpus, 0.0, job.size.gpus),
             Size(limits.cpus - held.cpus, 0.0, limits.gpus - held.gpus),
         )
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -14,7 +14,7 @@
 from .machine import Machine
 from .machines import MOST_LISTED, Fleet
 from .order import Order
-from .placement import fits_times
+from .placement import count_fitting
 from .preemption import Preemption
 from .quota import Quota
 from .scoring import Scoring
@@ -231,7 +231,7 @@
         if within is None or not job.spec.service or work.fails_everywhere:
             return 0
         lacking = len(work.pending) - sum(
-            fits_times(job.size, m.room) for m in fits if fetch_s(job, m) <= within
+            count_fitting(job.size, m.room) for m in fits if fetch_s(job, m) <= within
         )
         if lacking <= 0:
             return 0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from runcourse.core.placement import MIN_CPUS, ZERO_SIZE, Size, fits_times, progress
+from runcourse.core.placement import MIN_CPUS, ZERO_SIZE, Size, count_fitting, progress
 
 PM = Size(32, 128)  # 4 GB per CPU
 
@@ -29,6 +29,6 @@
 
 
 def test_fits_times_counts_by_the_scarcest() -> None:
-    assert fits_times(Size(4, 10), Size(32, 64)) == 6
-    assert fits_times(Size(4, 10, 1), Size(32, 640, 2)) == 2
-    assert fits_times(Size(4, 10), Size(3.9, 64)) == 0
+    assert count_fitting(Size(4, 10), Size(32, 64)) == 6
+    assert count_fitting(Size(4, 10, 1), Size(32, 640, 2)) == 2
+    assert count_fitting(Size(4, 10), Size(3.9, 64)) == 0
