--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -39,7 +39,7 @@
 ZERO_SIZE = Size(0.0, 0.0, 0.0)
 
 
-def progress(config: Size, allocated: Size, task: Size) -> float:
+def progress_score(config: Size, allocated: Size, task: Size) -> float:
     """Progress of a machine's memory-per-CPU allocation towards its hardware ratio.
 
     Positive: the task brings the ratio nearer. A move away from it weighs more the
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -5,7 +5,7 @@
 from .context import Context
 from .jobs import Job
 from .machine import Machine
-from .placement import MIN_CPUS, Size, progress
+from .placement import MIN_CPUS, Size, progress_score
 from .policy import NoPolicy, PlacementPolicy
 from .work import fetch_s
 
@@ -32,7 +32,7 @@
         """`used`: its allocations if not those of the ledger, while a set is put together."""
         assert machine.type is not None
         used = machine.used if used is None else used
-        score = progress(machine.type.size, used, job.size)
+        score = progress_score(machine.type.size, used, job.size)
         # Extension: seconds until the image is there.
         score -= self.context.operators.image_weight * fetch_s(job, machine)
         if self.policy.active:
