--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -37,7 +37,7 @@
 
     # --- what the ledger tells -----------------------------------------------------------
 
-    def placed(self, work: Work, placement: Placement) -> None:
+    def placement_added(self, work: Work, placement: Placement) -> None:
         """Placed here, or found on a machine after a takeover."""
         if work.attempt is None:
             work.attempt = placement.attempt
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -23,7 +23,7 @@
 class PlacementObserver(Protocol):
     """Who hears of changes to the placements."""
 
-    def placed(self, placement: Placement) -> None:
+    def placement_added(self, placement: Placement) -> None:
         """The placement counts from now on."""
 
     def unplaced(self, placement: Placement) -> None:
@@ -94,7 +94,7 @@
         if placement.job is not None and placement.job.spec.service:
             placement.machine.add_lasting(placement.size.cpus)
         self.by_task.setdefault(placement.task, []).append(placement)
-        self.observer.placed(placement)
+        self.observer.placement_added(placement)
 
     def _deactivate(self, placement: Placement, stage: str) -> None:
         placement.machine.use(placement.machine.used.minus(placement.size))
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -167,7 +167,7 @@
         self.enqueue(work)
         if job.spec.gang:
             for placement in self.fleet.placements.of_job(job.uid):
-                self.gangs.placed(work, placement)
+                self.gangs.placement_added(work, placement)
         self._dirty = True
 
     def enqueue(self, work: Work) -> None:
@@ -186,7 +186,7 @@
 
     # --- what the ledger tells -----------------------------------------------------------
 
-    def placed(self, placement: Placement) -> None:
+    def placement_added(self, placement: Placement) -> None:
         """A task was placed, or found on a machine."""
         self.quota.add(placement)
         if placement.job is not None and not placement.job.spec.service:
@@ -197,7 +197,7 @@
             work.zones[zone] = work.zones.get(zone, 0) + 1
             work.pending.pop(placement.task.number, None)
             if work.job.spec.gang:
-                self.gangs.placed(work, placement)
+                self.gangs.placement_added(work, placement)
         elif placement.job is not None and placement.job.final:
             self.fleet.placements.stop(placement)
 
