--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -26,7 +26,7 @@
     def placement_added(self, placement: Placement) -> None:
         """The placement counts from now on."""
 
-    def unplaced(self, placement: Placement) -> None:
+    def placement_removed(self, placement: Placement) -> None:
         """The placement counts no longer."""
 
     def stopped(self, placement: Placement) -> None:
@@ -112,7 +112,7 @@
         others.remove(placement)
         if not others:
             del self.by_task[placement.task]
-        self.observer.unplaced(placement)
+        self.observer.placement_removed(placement)
 
     def _count_running(self, job: JobId, by: int) -> None:
         self._running_changed[job] = None
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -201,7 +201,7 @@
         elif placement.job is not None and placement.job.final:
             self.fleet.placements.stop(placement)
 
-    def unplaced(self, placement: Placement) -> None:
+    def placement_removed(self, placement: Placement) -> None:
         """A placement counts no longer."""
         self.quota.remove(placement)
         work = self.work.get(placement.task.job)
