--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -55,7 +55,7 @@
         work.started = True
         work.incomplete = 0
 
-    def stopped(self, work: Work) -> None:
+    def stop_requested(self, work: Work) -> None:
         """One of its tasks was told to stop: then all are."""
         work.ending = True
 
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -29,7 +29,7 @@
     def placement_removed(self, placement: Placement) -> None:
         """The placement counts no longer."""
 
-    def stopped(self, placement: Placement) -> None:
+    def stop_requested(self, placement: Placement) -> None:
         """The task was told to stop."""
 
     def gone(self, placement: Placement, why: str) -> None:
@@ -143,7 +143,7 @@
             placement.machine.count_rank(placement, -1)
             placement.stopping = True
             placement.machine.count_rank(placement, 1)
-            self.observer.stopped(placement)
+            self.observer.stop_requested(placement)
         placement.grace_s = grace_s
         if not placement.seen and not placement.fence:
             # An order to start it may be under way, and a stop before it has no effect:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -209,12 +209,12 @@
             zone = placement.machine.record.zone
             work.zones[zone] = work.zones.get(zone, 0) - 1
 
-    def stopped(self, placement: Placement) -> None:
+    def stop_requested(self, placement: Placement) -> None:
         """A task was told to stop."""
         self.quota.stops(placement)
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
-            self.gangs.stopped(work)
+            self.gangs.stop_requested(work)
 
     def gone(self, placement: Placement, why: str) -> None:
         """The attempt is over, whatever the reason."""
