--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -59,7 +59,7 @@
         """One of its tasks was told to stop: then all are."""
         work.ending = True
 
-    def gone(self, work: Work, placement: Placement, why: str) -> None:
+    def attempt_ended(self, work: Work, placement: Placement, why: str) -> None:
         """A task of the attempt is over, and the job is not done."""
         now = self.context.now
         if placement.attempt == work.attempt:
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -237,7 +237,7 @@
         target.reserve(placement.task, placement.size)
         self.fleet.placements.stop(placement, grace_s)
 
-    def gone(self, placement: Placement, why: str) -> None:
+    def attempt_ended(self, placement: Placement, why: str) -> None:
         """An attempt is over, for sure. Is its task being moved?"""
         move = self._moves.get(placement.task)
         if move is None or move.placement is not placement:
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -32,7 +32,7 @@
     def stop_requested(self, placement: Placement) -> None:
         """The task was told to stop."""
 
-    def gone(self, placement: Placement, why: str) -> None:
+    def attempt_ended(self, placement: Placement, why: str) -> None:
         """The attempt is over for the reason given."""
 
     def running(self, placement: Placement) -> None:
@@ -132,7 +132,7 @@
             machine.emptied()
             machine.empty_since = self.context.now
         if active:
-            self.observer.gone(placement, why)
+            self.observer.attempt_ended(placement, why)
 
     def stop(self, placement: Placement, grace_s: float = 0.0) -> None:
         """Have the task stopped, with that much time to save."""
@@ -198,4 +198,4 @@
         if before != "ended":
             placement.stage_before = before
             self._deactivate(placement, before)
-            self.observer.gone(placement, cause)
+            self.observer.attempt_ended(placement, cause)
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -216,10 +216,10 @@
         if work is not None and work.job.spec.gang:
             self.gangs.stop_requested(work)
 
-    def gone(self, placement: Placement, why: str) -> None:
+    def attempt_ended(self, placement: Placement, why: str) -> None:
         """The attempt is over, whatever the reason."""
         self._dirty = True
-        self.migrations.gone(placement, why)
+        self.migrations.attempt_ended(placement, why)
         work = self.work.get(placement.task.job)
         if work is None:
             return
@@ -249,7 +249,7 @@
             self._pending[work.share][work.job.uid] = work
             work.tried.add(index)
             if work.job.spec.gang:
-                self.gangs.gone(work, placement, why)
+                self.gangs.attempt_ended(work, placement, why)
 
     def running(self, placement: Placement) -> None:
         """A task was reported as running."""
