--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -50,7 +50,7 @@
         if placement.stopping:
             work.ending = True
 
-    def running(self, work: Work) -> None:
+    def running_reported(self, work: Work) -> None:
         """All its tasks run."""
         work.started = True
         work.incomplete = 0
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -35,7 +35,7 @@
     def attempt_ended(self, placement: Placement, why: str) -> None:
         """The attempt is over for the reason given."""
 
-    def running(self, placement: Placement) -> None:
+    def running_reported(self, placement: Placement) -> None:
         """The task was reported as running."""
 
     def changed(self) -> None:
@@ -191,7 +191,7 @@
             if entry.stage != "waiting":
                 if before != "running":
                     placement.ran_since = self.context.now
-                self.observer.running(placement)
+                self.observer.running_reported(placement)
 
     def _ended(self, placement: Placement, before: str, cause: str) -> None:
         placement.cause = cause
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -251,11 +251,11 @@
             if work.job.spec.gang:
                 self.gangs.attempt_ended(work, placement, why)
 
-    def running(self, placement: Placement) -> None:
+    def running_reported(self, placement: Placement) -> None:
         """A task was reported as running."""
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
-            self.gangs.running(work)
+            self.gangs.running_reported(work)
 
     def changed(self) -> None:
         """Something changed that may make room: take a turn soon."""
