--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -86,7 +86,7 @@
         self.types = {t[0]: msgspec.convert(t, MachineType) for t in rows}
         for machine in self.machines.values():
             machine.set_type(self.types.get(machine.record.type))
-        self.observer.changed()
+        self.observer.capacity_changed()
 
     def _record_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         id = MachineId(key[len(MACHINE) :])
@@ -181,7 +181,7 @@
             machine.up_since = self.context.now
             machine.note_heard(self.context.now)
             self.commands.wake(machine.id)  # an empty command shows that it can be reached
-            self.observer.changed()
+            self.observer.capacity_changed()
 
     def _drop(self, id: MachineId, why: str) -> None:
         machine = self.machines.pop(id, None)
@@ -189,7 +189,7 @@
             self.of_share(machine.share.number).remove(machine)
             for placement in list(machine.placements.values()):
                 self.placements.remove(placement, why)
-            self.observer.changed()
+            self.observer.capacity_changed()
 
     def gain(self, holding: Holding) -> None:
         """The share is owned here from now on."""
@@ -231,7 +231,7 @@
                 self.context.log(
                     "info", f"share {holding.number} settled after {now - holding.since:.2f} s"
                 )
-                self.observer.changed()
+                self.observer.capacity_changed()
 
     def _expire(self, machine: Machine) -> None:
         """Nobody answered the worker for longer than its lease: it has killed everything."""
@@ -243,7 +243,7 @@
         machine.suspected_at = (
             self.context.now
         )  # answered again for a while, as nothing is at stake
-        self.observer.changed()
+        self.observer.capacity_changed()
 
     # --- liveness ------------------------------------------------------------------------
 
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -166,7 +166,7 @@
             case ReplacePolicySettings():
                 for line in self.policy.replace(event.settings, self.context.now):
                     self.context.log("warning", line)
-                self.scheduler.changed()
+                self.scheduler.capacity_changed()
             case PeerMessageReceived():
                 self._peer_said(event.member, event.message)
             case Health():
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -38,7 +38,7 @@
     def running_reported(self, placement: Placement) -> None:
         """The task was reported as running."""
 
-    def changed(self) -> None:
+    def capacity_changed(self) -> None:
         """Something changed that may make room for waiting tasks."""
 
 
@@ -161,7 +161,7 @@
             placement = Placement(entry.task, entry.attempt, machine, job, self.context.now)
             self.insert(placement)
             if entry.stage == "ended":
-                self.observer.changed()
+                self.observer.capacity_changed()
         if job is not None and placement.job is None:
             self._attach_job(placement, job)
         placement.seen = True
--- a/runcourse/core/reports.py
+++ b/runcourse/core/reports.py
@@ -67,10 +67,10 @@
         self._apply_tasks(machine, report)
         if not machine.settled and report.token >= machine.base_token:
             machine.settled = True
-            self.observer.changed()
+            self.observer.capacity_changed()
         if not usable and self.usable(machine):
             # A machine that came up or back is new room, though nothing on it changed.
-            self.observer.changed()
+            self.observer.capacity_changed()
         return True
 
     @staticmethod
@@ -129,7 +129,7 @@
             return
         if machine.notice_until is None:
             self.context.log("info", f"machine {machine.id}: notice, {report.notice_s:.1f} s")
-            self.observer.changed()
+            self.observer.capacity_changed()
         machine.note_notice(Instant(self.context.now + max(report.notice_s, 0.0)))
 
     def _apply_tasks(self, machine: Machine, report: Report) -> None:
@@ -142,7 +142,7 @@
                 continue
             if placement.seen or (placement.fence and report.token >= placement.fence):
                 self.placements.remove(placement, "absent")
-                self.observer.changed()
+                self.observer.capacity_changed()
 
     def overtaken(self, report: Report) -> bool:
         """Is it a report that a later direct answer of its worker overtook? Its worker still
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -82,7 +82,7 @@
         """The ledger tells the scheduler of changes, and the scheduler changes the ledger: the
         node builds the two for each other."""
         self.fleet = fleet
-        self.failures = Failures(self.context, fleet, self.changed)
+        self.failures = Failures(self.context, fleet, self.capacity_changed)
         self.gangs = Gangs(self.context, fleet, self.work)
         self.preemption = Preemption(
             self.context, fleet, self.quota, self.order, self.budget, self.work, self.gangs
@@ -257,7 +257,7 @@
         if work is not None and work.job.spec.gang:
             self.gangs.running_reported(work)
 
-    def changed(self) -> None:
+    def capacity_changed(self) -> None:
         """Something changed that may make room: take a turn soon."""
         self._dirty = True
 
