--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -189,7 +189,7 @@
         return (
             work.job.spec.tasks >= 2
             and not work.pending
-            and self.fleet.placements.running_of(uid) >= work.job.spec.tasks
+            and self.fleet.placements.running_count(uid) >= work.job.spec.tasks
             and not any(task.job == uid for task in self._moves)
         )
 
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -59,7 +59,7 @@
 
     # --- lookups -------------------------------------------------------------------------
 
-    def running_of(self, uid: JobId) -> int:
+    def running_count(self, uid: JobId) -> int:
         """How many tasks of the job run."""
         return self._running.get(uid, 0)
 
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -69,7 +69,7 @@
             return job_state(job.uid, job.stage, done, 0)
         share = self.shares.of_team(Team(job.spec.team))
         running = (
-            self.fleet.placements.running_of(job.uid)
+            self.fleet.placements.running_count(job.uid)
             if share in self.shares.owned
             else self.running.of(job.uid)
         )
