--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -91,7 +91,7 @@
         if plan is None:
             work.wait_reason = NO_ROOM
             if last:
-                self.preemption.make_room_whole(turn, work)
+                self.preemption.make_room_for_gang(turn, work)
             return n
         holding = self.shares.owned[work.share]
         attempt = work.attempt if any(work.zones.values()) else None
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -132,7 +132,7 @@
             self.context.log("info", f"{victim.task} stopped for {job.uid}")
             self.gangs.stop(victim)
 
-    def make_room_whole(self, turn: Turn, work: Work) -> None:
+    def make_room_for_gang(self, turn: Turn, work: Work) -> None:
         """The same for a gang: room for all its tasks is made, in one zone if it says so, or for
         none. Only one that lies within its team's guarantee as a whole is served by it."""
         job, n = work.job, len(work.pending)
