--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -82,7 +82,7 @@
                 within < math.inf and fetch_s(job, machine) > within
             ):
                 return None
-            found = self.victims(job, machine, guaranteed > 0, stopping)
+            found = self.find_victims(job, machine, guaranteed > 0, stopping)
             if found is None:
                 return None
             lost = sum(self.gangs.lost(v) for v in found)
@@ -157,7 +157,9 @@
             count = n
             while (
                 count
-                and (found := self.victims(job, machine, guaranteed, self.quota.stopping, count))
+                and (
+                    found := self.find_victims(job, machine, guaranteed, self.quota.stopping, count)
+                )
                 is None
             ):
                 count //= 2
@@ -182,10 +184,10 @@
         for machine, count in best[1]:
             turn.claimed.add(machine.id)
             self._stop(
-                self.victims(job, machine, guaranteed, self.quota.stopping, count) or [], job
+                self.find_victims(job, machine, guaranteed, self.quota.stopping, count) or [], job
             )
 
-    def victims(
+    def find_victims(
         self,
         job: Job,
         machine: Machine,
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -130,7 +130,7 @@
             node.fleet.placements.place(borrower.job, number, m, share.next_attempt())
 
     def stoppable(job: Job) -> bool:
-        return scheduler.preemption.victims(job, machine, True, {}) is not None
+        return scheduler.preemption.find_victims(job, machine, True, {}) is not None
 
     assert not stoppable(claimant.job)
     assert stoppable(replica.job), "a higher rank need not wait"
