--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -47,9 +47,9 @@
             rank = placement.job.spec.rank
             self._ranks[rank] = self._ranks.get(rank, 0) + 1
             if placement.stopping:
-                self.stops(placement)
+                self.note_stopping(placement)
 
-    def stops(self, placement: Placement) -> None:
+    def note_stopping(self, placement: Placement) -> None:
         """The placement was told to stop."""
         if placement.job is not None:
             team = Team(placement.job.spec.team)
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -211,7 +211,7 @@
 
     def stop_requested(self, placement: Placement) -> None:
         """A task was told to stop."""
-        self.quota.stops(placement)
+        self.quota.note_stopping(placement)
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
             self.gangs.stop_requested(work)
