--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -64,7 +64,7 @@
             if placement.stopping:
                 self.stopping[team] = self.stopping[team].minus(placement.size)
 
-    def refuses(self, job: Job) -> str | None:
+    def rejection_reason(self, job: Job) -> str | None:
         """Why the job can never run within its team's limit, if so."""
         limits = self.teams.get(Team(job.spec.team))
         if limits is None:
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -184,7 +184,7 @@
         self._after_sync(request, then)
 
     def _impossible(self, spec: JobSpec) -> str | None:
-        refused = self.quota.refuses(Job(spec, ABSENT))
+        refused = self.quota.rejection_reason(Job(spec, ABSENT))
         if refused:
             return refused
         for machine_type in self.fleet.types.values():
