--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -47,7 +47,7 @@
         spec = job.spec
         now = self.context.now
         started = begun(work)
-        key = (not self.quota.guaranteed(job), spec.rank)
+        key = (not self.quota.within_guarantee(job), spec.rank)
         if not started and now > job.submitted + AGED_S and now >= work.aged_until:
             work.aged_until = Instant(now + AGED_S)
         if spec.service or spec.gang:
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -90,7 +90,7 @@
             and held.gpus + job.size.gpus <= limits.gpus_max + SLACK
         )
 
-    def guaranteed(self, job: Job) -> bool:
+    def within_guarantee(self, job: Job) -> bool:
         """Would one more task of the job still lie within its team's guarantee?"""
         team = Team(job.spec.team)
         limits = self.teams.get(team)
