--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -224,7 +224,7 @@
                 or (work is not None and self.order.overdue(work))
             ):
                 continue
-            if self.quota.may_stop(job, guaranteed, placement, more.get(team, ZERO_SIZE)):
+            if self.quota.may_preempt(job, guaranteed, placement, more.get(team, ZERO_SIZE)):
                 more[team] = more.get(team, ZERO_SIZE).plus(placement.size)
                 victims.append(placement)
                 room = room.plus(placement.size)
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -122,7 +122,7 @@
         return held.cpus > limits.cpus + SLACK or held.gpus > limits.gpus + SLACK
 
     def could_stop(self, waiting: Job, guaranteed: bool) -> bool:
-        """Is there anything at all that `may_stop` might say yes to?"""
+        """Is there anything at all that `may_preempt` might say yes to?"""
         rank = waiting.spec.rank
         if any(n > 0 and r > rank for r, n in self._ranks.items()):
             return True
@@ -132,7 +132,7 @@
             and any(team != waiting.spec.team and self.beyond(team) for team in self.teams)
         )
 
-    def may_stop(
+    def may_preempt(
         self, waiting: Job, guaranteed: bool, victim: Placement, stopping: Size = ZERO_SIZE
     ) -> bool:
         """PROTOCOL's "Preemption": a higher rank, or a guarantee against borrowed room.
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -88,9 +88,9 @@
         return placement
 
     victims = [held(replica, 0), held(replica, 1), held(replica, 2)]
-    assert not any(quota.may_stop(array, True, v) for v in victims)
-    assert not quota.may_stop(array, True, held(equal))
-    assert quota.may_stop(array, False, held(lesser))
+    assert not any(quota.may_preempt(array, True, v) for v in victims)
+    assert not quota.may_preempt(array, True, held(equal))
+    assert quota.may_preempt(array, False, held(lesser))
 
 
 def test_borrowed_room_is_given_back_but_no_team_falls_below_its_guarantee() -> None:
@@ -110,9 +110,9 @@
     ]
     for placement in placements:
         quota.add(placement)  # 6 CPUs
-    assert quota.may_stop(waiting, True, placements[0])
-    assert not quota.may_stop(waiting, False, placements[0])
-    assert not quota.may_stop(waiting, True, placements[1], stopping=Size(2, 4)), (
+    assert quota.may_preempt(waiting, True, placements[0])
+    assert not quota.may_preempt(waiting, False, placements[0])
+    assert not quota.may_preempt(waiting, True, placements[1], stopping=Size(2, 4)), (
         "with 2 CPUs being stopped already the team is down to its guarantee"
     )
     assert quota.guaranteed_count(waiting) == 2
