--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -79,7 +79,7 @@
             self.gangs.stop(placement)
         return machine
 
-    def soon_empty(self, share: ShareNo, serves: Callable[[Machine], bool]) -> list[Machine]:
+    def soonest_empty(self, share: ShareNo, serves: Callable[[Machine], bool]) -> list[Machine]:
         """Machines without replicas, those first that fall empty soonest as it seems, and idle
         for the least until then."""
         now = self.context.now
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -208,7 +208,7 @@
             machine = self.fleet.machines.get(id)
             if machine is not None and machine.type is not None and transfer.to == to:
                 left -= machine.type.cpus
-        for machine in self.scheduler.draining.soon_empty(
+        for machine in self.scheduler.draining.soonest_empty(
             share,
             lambda m: (
                 accepts(demand, m.record.type, m.record.zone, m.record.spot)
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -59,7 +59,7 @@
         """
         job = work.job
         guaranteed = self.quota.guaranteed_count(job)
-        if not self.quota.could_stop(job, guaranteed > 0):
+        if not self.quota.any_preemptible(job, guaranteed > 0):
             return 0
         spec = job.spec
         asks = (
@@ -137,7 +137,7 @@
         none. Only one that lies within its team's guarantee as a whole is served by it."""
         job, n = work.job, len(work.pending)
         guaranteed = self.quota.guaranteed_count(job) >= n
-        if not self.quota.could_stop(job, guaranteed):
+        if not self.quota.any_preemptible(job, guaranteed):
             return
         asks = (job.uid, n)
         if asks in self._hopeless:
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -121,7 +121,7 @@
         held = self.held(team).minus(stopping)
         return held.cpus > limits.cpus + SLACK or held.gpus > limits.gpus + SLACK
 
-    def could_stop(self, waiting: Job, guaranteed: bool) -> bool:
+    def any_preemptible(self, waiting: Job, guaranteed: bool) -> bool:
         """Is there anything at all that `may_preempt` might say yes to?"""
         rank = waiting.spec.rank
         if any(n > 0 and r > rank for r, n in self._ranks.items()):
