--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -95,7 +95,7 @@
             found.append((max(left, default=0.0) * max(len(left), 1), machine.id, machine))
         return [machine for _, _, machine in sorted(found, key=lambda f: f[:2])]
 
-    def _move_away(self, machine: Machine) -> bool:
+    def _relocate_replicas(self, machine: Machine) -> bool:
         """Move the replicas if the others have room and hold their images: then a move takes
         a moment only, and the empty machine can be returned. Says whether they are moved."""
         now = self.context.now
@@ -202,6 +202,9 @@
             if (
                 self.context.now < machine.draining_until
                 and self.fleet.machines.get(machine.id) is machine
-                and not (self.shares.may_command(machine.share.number) and self._move_away(machine))
+                and not (
+                    self.shares.may_command(machine.share.number)
+                    and self._relocate_replicas(machine)
+                )
             ):
                 self._draining.append(machine)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -296,7 +296,7 @@
     of 2,000 machines did nothing else. Found by a measurement at 4,000."""
     node, _ = owner_of_some(ready(machines=12))
     draining, looks = node.scheduler.draining, []
-    draining._move_away = lambda machine: looks.append(machine.id)  # type: ignore[method-assign]
+    draining._relocate_replicas = lambda machine: looks.append(machine.id)  # type: ignore[method-assign]
     machines = list(node.fleet.machines.values())[:3]
     for machine in machines:
         machine.draining_until = Instant(node.context.now + 45.0)
