--- a/runcourse/locality/fairness.py
+++ b/runcourse/locality/fairness.py
@@ -27,7 +27,7 @@
 NOTHING_HELD = _Held(0.0, 0.0)
 
 
-class LocalShares:
+class SourceFairness:
     """Who leaves the machines near a source to whom; reckoned anew now and then."""
 
     def __init__(self, sources: SourceTable, guarantees: Mapping[str, float]) -> None:
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -12,7 +12,7 @@
 from ..core.shares import Holding
 from ..core.work import Work
 from .costs import Costs
-from .fairness import LocalShares
+from .fairness import SourceFairness
 from .load import Heat, LoadTracker
 from .rebalancer import MoveBounds, Rebalancer
 from .settings import LocalitySettings
@@ -29,7 +29,7 @@
         self.costs = Costs(settings, self.sources, self.tracker)
         self.bounds = MoveBounds(settings)
         self.rebalancer = Rebalancer(settings, self.costs, self.tracker)
-        self.local_shares = LocalShares(self.sources, guarantees)
+        self.local_shares = SourceFairness(self.sources, guarantees)
         self._planned_at: dict[ShareNo, Instant] = {}
         self._machines: set[MachineId] = set()
 
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -15,7 +15,7 @@
 from runcourse.core.policy import Candidate
 from runcourse.core.work import Work
 from runcourse.locality.costs import Costs
-from runcourse.locality.fairness import LocalShares
+from runcourse.locality.fairness import SourceFairness
 from runcourse.locality.load import FEW_FINISHES, FEW_SIBLINGS, Heat, LoadTracker
 from runcourse.locality.rebalancer import MoveBounds, Rebalancer
 from runcourse.locality.settings import LocalitySettings, Source
@@ -247,7 +247,7 @@
 
 def test_a_team_beyond_its_part_leaves_near_machines_to_one_that_waits() -> None:
     table = SourceTable(LocalitySettings(sources=(source("a", teams=("team-0", "team-1")),)))
-    shares = LocalShares(table, {"team-0": 4.0, "team-1": 4.0})
+    shares = SourceFairness(table, {"team-0": 4.0, "team-1": 4.0})
     near, far = machine("a", 4.0, "i-near"), machine("b", name="i-far")
     running(near, "j-000001", team="team-0", cpus=4.0)
     hot, quiet = work("j-000001", "team-0", 2), work("j-000002", "team-1", 1)
@@ -267,7 +267,7 @@
 
 def test_the_settings_of_the_platform_give_the_parts() -> None:
     teams = {team.name: team.cpus for team in platform("n0").settings.teams}
-    shares = LocalShares(SourceTable(LocalitySettings()), teams)
+    shares = SourceFairness(SourceTable(LocalitySettings()), teams)
     assert shares._parts({"team-0", "team-1"}, 12.0) == {"team-0": 6.0, "team-1": 6.0}
     shares.guarantees = {"team-0": 8.0, "team-1": 4.0}
     assert shares._parts({"team-0", "team-1"}, 12.0) == {"team-0": 8.0, "team-1": 4.0}
