--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -29,7 +29,7 @@
         self.costs = Costs(settings, self.sources, self.tracker)
         self.bounds = MoveBounds(settings)
         self.rebalancer = Rebalancer(settings, self.costs, self.tracker)
-        self.local_shares = SourceFairness(self.sources, guarantees)
+        self.source_fairness = SourceFairness(self.sources, guarantees)
         self._planned_at: dict[ShareNo, Instant] = {}
         self._machines: set[MachineId] = set()
 
@@ -68,7 +68,7 @@
 
     def candidates(self, work: Work, machines: list[Machine]) -> list[Machine]:
         """The machines left to a task of the job."""
-        return self.local_shares.candidates(work, machines)
+        return self.source_fairness.candidates(work, machines)
 
     # --- what is learnt ------------------------------------------------------------------
 
@@ -79,7 +79,7 @@
             self.tracker.observe(machine, now)
         self._machines = {machine.id for machine in machines}
         self.tracker.forget_all_but(self._machines)
-        self.local_shares.recompute(machines, works, now)
+        self.source_fairness.recompute(machines, works, now)
         self.bounds.tidy(now)
 
     def finished(self, placement: Placement, ran_s: float) -> None:
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -385,7 +385,7 @@
         policies: list[Any] = [n.policy for n in nodes(world)]
         if not fair:
             for policy in policies:
-                policy.local_shares.candidates = lambda work, machines: machines
+                policy.source_fairness.candidates = lambda work, machines: machines
         number = 100
         quiet_zones: list[str] = []
         for n in range(60):
