--- a/runcourse/locality/fairness.py
+++ b/runcourse/locality/fairness.py
@@ -55,7 +55,7 @@
             return frozenset()
         held = self._count(source, machines)
         capacity = sum(m.type.cpus for m in machines if m.type and m.record.zone in source.zones)
-        parts = self._parts(teams, capacity)
+        parts = self._fair_parts(teams, capacity)
         below = {
             team
             for team in teams
@@ -87,7 +87,7 @@
                 )
         return found
 
-    def _parts(self, teams: set[str], capacity: float) -> dict[str, float]:
+    def _fair_parts(self, teams: set[str], capacity: float) -> dict[str, float]:
         """The capacity, divided by guarantees where all have one, else evenly."""
         weights = {team: self.guarantees.get(team, 0.0) for team in teams}
         if not all(weights.values()):
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -268,7 +268,7 @@
 def test_the_settings_of_the_platform_give_the_parts() -> None:
     teams = {team.name: team.cpus for team in platform("n0").settings.teams}
     shares = SourceFairness(SourceTable(LocalitySettings()), teams)
-    assert shares._parts({"team-0", "team-1"}, 12.0) == {"team-0": 6.0, "team-1": 6.0}
+    assert shares._fair_parts({"team-0", "team-1"}, 12.0) == {"team-0": 6.0, "team-1": 6.0}
     shares.guarantees = {"team-0": 8.0, "team-1": 4.0}
-    assert shares._parts({"team-0", "team-1"}, 12.0) == {"team-0": 8.0, "team-1": 4.0}
-    assert shares._parts({"team-0", "team-9"}, 12.0) == {"team-0": 6.0, "team-9": 6.0}
+    assert shares._fair_parts({"team-0", "team-1"}, 12.0) == {"team-0": 8.0, "team-1": 4.0}
+    assert shares._fair_parts({"team-0", "team-9"}, 12.0) == {"team-0": 6.0, "team-9": 6.0}
