--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -22,7 +22,7 @@
 MOST_FETCH_LOAD = 0.2
 ACCURACY = 0.02  # relative, of a quantile
 CLASSES_KEPT = 200  # whose durations are remembered, those used last
-FEW_FINISHES = 5  # beyond which a machine's durations tell something
+MIN_FINISHES = 5  # beyond which a machine's durations tell something
 FEW_SIBLINGS = 20  # the same, of a class
 SLOW_RATIO = 1.3  # of a machine's median against its siblings'
 MOST_SLOW_RATIO = 4.0  # that is reckoned with
@@ -140,7 +140,7 @@
 
     def _judge(self, id: MachineId, ratios: DDSketch) -> None:
         median = ratios.get_quantile_value(MEDIAN) or 1.0
-        if ratios.count >= FEW_FINISHES and median >= SLOW_RATIO:
+        if ratios.count >= MIN_FINISHES and median >= SLOW_RATIO:
             self._slowness[id] = min(median, MOST_SLOW_RATIO)
         else:
             self._slowness.pop(id, None)
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -16,7 +16,7 @@
 from runcourse.core.work import Work
 from runcourse.locality.costs import Costs
 from runcourse.locality.fairness import SourceFairness
-from runcourse.locality.load import FEW_FINISHES, FEW_SIBLINGS, Heat, LoadTracker
+from runcourse.locality.load import FEW_SIBLINGS, MIN_FINISHES, Heat, LoadTracker
 from runcourse.locality.rebalancer import MoveBounds, Rebalancer
 from runcourse.locality.settings import LocalitySettings, Source
 from runcourse.locality.sources import SourceTable
@@ -113,7 +113,7 @@
     job = spec("j-1", estimate_s=10.0)
     for _ in range(FEW_SIBLINGS):
         tracker.finished(job, quick, 10.0)
-    for _ in range(FEW_FINISHES - 1):
+    for _ in range(MIN_FINISHES - 1):
         tracker.finished(job, slow, 20.0)
     assert tracker.slowness(slow.id) == 1.0, "a few may be chance"
     tracker.finished(job, slow, 20.0)
