--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -23,7 +23,7 @@
 ACCURACY = 0.02  # relative, of a quantile
 CLASSES_KEPT = 200  # whose durations are remembered, those used last
 MIN_FINISHES = 5  # beyond which a machine's durations tell something
-FEW_SIBLINGS = 20  # the same, of a class
+MIN_SIBLINGS = 20  # the same, of a class
 SLOW_RATIO = 1.3  # of a machine's median against its siblings'
 MOST_SLOW_RATIO = 4.0  # that is reckoned with
 MEDIAN = 0.5
@@ -115,7 +115,7 @@
             return
         duration = ran_s / spec.estimate_s
         siblings = self._siblings((spec.team, spec.lane))
-        if siblings.count >= FEW_SIBLINGS:
+        if siblings.count >= MIN_SIBLINGS:
             median = siblings.get_quantile_value(MEDIAN)
             if median:
                 ratios = self._ratios.get(machine.id)
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -16,7 +16,7 @@
 from runcourse.core.work import Work
 from runcourse.locality.costs import Costs
 from runcourse.locality.fairness import SourceFairness
-from runcourse.locality.load import FEW_SIBLINGS, MIN_FINISHES, Heat, LoadTracker
+from runcourse.locality.load import MIN_FINISHES, MIN_SIBLINGS, Heat, LoadTracker
 from runcourse.locality.rebalancer import MoveBounds, Rebalancer
 from runcourse.locality.settings import LocalitySettings, Source
 from runcourse.locality.sources import SourceTable
@@ -111,7 +111,7 @@
     tracker = LoadTracker(LocalitySettings())
     quick, slow = machine(name="i-quick", used=4.0), machine(name="i-slow")
     job = spec("j-1", estimate_s=10.0)
-    for _ in range(FEW_SIBLINGS):
+    for _ in range(MIN_SIBLINGS):
         tracker.finished(job, quick, 10.0)
     for _ in range(MIN_FINISHES - 1):
         tracker.finished(job, slow, 20.0)
