--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -101,7 +101,7 @@
         trend = self._trends.get(id)
         return trend.heat if trend is not None else Heat.WARM
 
-    def forget_all_but(self, ids: set[MachineId]) -> None:
+    def retain_only(self, ids: set[MachineId]) -> None:
         """Machines that are not owned here any more are not remembered."""
         for known in (self._trends, self._ratios, self._slowness):
             for id in [id for id in known if id not in ids]:
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -78,7 +78,7 @@
         for machine in machines:
             self.tracker.observe(machine, now)
         self._machines = {machine.id for machine in machines}
-        self.tracker.forget_all_but(self._machines)
+        self.tracker.retain_only(self._machines)
         self.source_fairness.recompute(machines, works, now)
         self.bounds.tidy(now)
 
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -119,7 +119,7 @@
     tracker.finished(job, slow, 20.0)
     assert tracker.slowness(slow.id) == pytest.approx(2.0, rel=0.05)
     assert tracker.slowness(quick.id) == 1.0, "full, yet not slow"
-    tracker.forget_all_but(set())
+    tracker.retain_only(set())
     assert tracker.slowness(slow.id) == 1.0
 
 
