--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -109,7 +109,7 @@
 
     # --- slow machines -------------------------------------------------------------------
 
-    def finished(self, spec: JobSpec, machine: Machine, ran_s: float) -> None:
+    def record_completion(self, spec: JobSpec, machine: Machine, ran_s: float) -> None:
         """A task completed after running for so long."""
         if spec.estimate_s <= 0 or ran_s <= 0:
             return
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -112,11 +112,11 @@
     quick, slow = machine(name="i-quick", used=4.0), machine(name="i-slow")
     job = spec("j-1", estimate_s=10.0)
     for _ in range(MIN_SIBLINGS):
-        tracker.finished(job, quick, 10.0)
+        tracker.record_completion(job, quick, 10.0)
     for _ in range(MIN_FINISHES - 1):
-        tracker.finished(job, slow, 20.0)
+        tracker.record_completion(job, slow, 20.0)
     assert tracker.slowness(slow.id) == 1.0, "a few may be chance"
-    tracker.finished(job, slow, 20.0)
+    tracker.record_completion(job, slow, 20.0)
     assert tracker.slowness(slow.id) == pytest.approx(2.0, rel=0.05)
     assert tracker.slowness(quick.id) == 1.0, "full, yet not slow"
     tracker.retain_only(set())
