--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -64,7 +64,7 @@
         """The shares that have a budget here."""
         return list(self._budgets)
 
-    def left(self, share: ShareNo, now: Instant) -> float:
+    def moves_left(self, share: ShareNo, now: Instant) -> float:
         """Moves that the share may make now."""
         budget = self._budgets.get(share)
         if budget is None:
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -144,12 +144,12 @@
         bounds.share_gained(SHARE, at(now))
         for _ in range(12):
             now += 1.0
-            if bounds.left(SHARE, at(now)) >= 1.0:
+            if bounds.moves_left(SHARE, at(now)) >= 1.0:
                 bounds.record_move(TaskId(running(machine()).task.job, made), SHARE, at(now))
                 made += 1
     assert made == 0, "sixty an hour are two in two minutes, and each owner began with none"
     bounds.share_gained(SHARE, at(now))
-    assert bounds.left(SHARE, at(now + 3600.0)) == 4.0, "no more than the burst is saved up"
+    assert bounds.moves_left(SHARE, at(now + 3600.0)) == 4.0, "no more than the burst is saved up"
 
 
 def test_the_cooldown_of_a_task_doubles_with_each_move() -> None:
