--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -1,11 +1,11 @@
-"""Moves of running tasks: reservation, orderly stop, proof of absence, start.
+"""Moves of running tasks to other machines: reservation, orderly stop, proof that it ended, start.
 
-A move goes through what exists. The room on the target is reserved, so that nothing else takes it;
-the task is stopped as for a drain; once its attempt is over, by the same proof as ever, it waits
-like any other and is started first, on the target if it may still go there. So it is never in two
-places, and whatever fails on the way leaves it running or waiting: the reservation is let go, and
-the scheduler places the task wherever it can. Nothing of a move is stored; a new owner finds the
-task running, or nowhere.
+A move reserves room on the target, so that nothing else takes it, and stops the task as a drain
+does. Once the attempt has ended, by the same proof as for any attempt, the task waits like any
+other and is started first, on the target if it may still go there. A task is therefore never in
+two places, and a failure at any step leaves it running or waiting: the reservation is released,
+and the scheduler places the task wherever it can. No part of a move is stored; a new owner finds
+the task either running or on no machine.
 """
 
 from __future__ import annotations
@@ -26,28 +26,29 @@
 from .versions import Versions
 from .work import Work, grace, may_move_to, permits, zone_open
 
-MIN_RUNTIME_S = 30.0  # what runs for less is not moved
-STOP_SLACK_S = 15.0  # beyond its time to save, until a stopped task must be gone
-START_SLACK_S = 5.0  # in which a task that is gone must find its target usable
-OBSERVE_EVERY_S = 1.0  # between two looks at all machines owned here
-OBSERVED_PER_S = 500  # machines; more of them are looked at less often
+MIN_REPLICAS = 2  # a service with fewer cannot spare one while it moves
+MIN_RUNTIME_S = 30.0  # a task that has run for less is not moved
+STOP_MARGIN_S = 15.0  # beyond its time to save, within which a stopped task must have ended
+START_TIMEOUT_S = 5.0  # within which a task that has ended must be started on its target
+OBSERVE_INTERVAL_S = 1.0  # between two observations of all machines owned here
+OBSERVED_MACHINES_PER_S = 500  # at most; more machines are observed less often
 
 
 class Migration:
-    """One move on its way."""
+    """One move under way."""
 
-    __slots__ = ("placement", "proposal", "ready", "target", "until")
+    __slots__ = ("deadline", "placement", "proposal", "stopped", "target")
 
-    def __init__(self, proposal: MoveProposal, until: Instant) -> None:
+    def __init__(self, proposal: MoveProposal, deadline: Instant) -> None:
         self.proposal = proposal
         self.placement = proposal.placement
         self.target = proposal.target
-        self.until = until
-        self.ready = False  # the attempt is over: the task is nowhere
+        self.deadline = deadline
+        self.stopped = False  # the attempt has ended, and the task is on no machine
 
 
 class Migrations:
-    """Begins the moves that the policy proposes, and carries each to an end."""
+    """Begins the moves that the policy proposes, and completes each or gives it up."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         self._observed_at = LONG_AGO
 
     def status(self) -> dict[str, Any]:
-        """What operators may see."""
+        """Returns the state of the policy and the moves for operators; empty without a policy."""
         if not self.policy.active:
             return {}
         under_way = [
@@ -86,7 +87,7 @@
                 "from": move.placement.machine.id,
                 "to": move.target.id,
                 "reason": move.proposal.reason,
-                "stopped": move.ready,
+                "stopped": move.stopped,
             }
             for task, move in self._moves.items()
         ]
@@ -96,53 +97,55 @@
             "under_way": under_way,
         }
 
-    # --- time ----------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Look at the machines, give up moves that go wrong, and plan new ones."""
+        """Observes the machines, gives up moves that cannot go on, and plans new ones."""
         if not self.policy.active and not self._moves:
             return
         now = self.context.now
-        if now >= self._observed_at + self._observe_every_s():
+        if now >= self._observed_at + self._observe_interval_s():
             self._observed_at = now
             self.policy.observe(self.fleet.machines.values(), self.work.values(), now)
         for task, move in list(self._moves.items()):
-            why = self._obstacle(task, move)
-            if why:
-                self._give_up(task, move, why)
-        if self.policy.rebalances and self._may_move():
+            reason = self._abort_reason(task, move)
+            if reason:
+                self._give_up(task, move, reason)
+        if self.policy.rebalances and self._moves_allowed():
             for holding in self.shares.owned.values():
                 self._plan(holding)
 
-    def _observe_every_s(self) -> float:
-        return max(OBSERVE_EVERY_S, len(self.fleet.machines) / OBSERVED_PER_S)
+    def _observe_interval_s(self) -> float:
+        return max(OBSERVE_INTERVAL_S, len(self.fleet.machines) / OBSERVED_MACHINES_PER_S)
+
+    def _moves_allowed(self) -> bool:
+        """Returns whether moves may begin.
 
-    def _may_move(self) -> bool:
-        """Not in an outage, not on a grant of the others, not beside a former version."""
+        None begin in an outage of the state service, on quorum grants alone, or beside a
+        controller of an earlier version.
+        """
         return (
             self.context.now < self.authority.until
             and not self.store.failing
             and self.versions.all_read
         )
 
-    def _obstacle(self, task: TaskId, move: Migration) -> str:
-        """Why the move can't go on; empty if it can."""
+    def _abort_reason(self, task: TaskId, move: Migration) -> str:
+        """Returns why the move cannot go on; empty if it can."""
         work = self.work.get(task.job)
         if work is None:
-            return "its job is over, or owned elsewhere"
-        if self.context.now >= move.until:
+            return "its job has ended or is owned elsewhere"
+        if self.context.now >= move.deadline:
             return "it took too long"
         target = move.target
         if self.fleet.machines.get(target.id) is not target or target.moving:
-            return "its target is gone"
+            return "its target was removed or is changing its share"
         if target.record.leaving or target.notice_until is not None:
-            return "its target leaves"
+            return "its target is being returned or is under notice"
         return ""
 
-    # --- planning ------------------------------------------------------------------------
+    # Planning
 
     def _plan(self, holding: Holding) -> None:
-        """At most one move of a share at a time, over a random sample of its machines."""
+        """Begins at most one move of the share at a time, among a random sample of its machines."""
         share, now = holding.number, self.context.now
         if (
             not holding.settled
@@ -160,14 +163,18 @@
             Candidate(placement, targets)
             for machine in machines
             for placement in machine.placements.values()
-            if self._movable(placement) and (targets := self._targets(placement, machines))
+            if self._is_movable(placement) and (targets := self._find_targets(placement, machines))
         ]
         proposal = self.policy.propose(share, candidates, now)
         if proposal is not None:
             self._begin(proposal)
 
-    def _movable(self, placement: Placement) -> bool:
-        """Work that saves its progress, and replicas of services that are wholly up."""
+    def _is_movable(self, placement: Placement) -> bool:
+        """Returns whether the task may be moved.
+
+        Only work that saves its progress, and replicas of services of which all replicas run,
+        may be moved.
+        """
         job, now = placement.job, self.context.now
         work = self.work.get(placement.task.job)
         if job is None or work is None or job.final or job.spec.gang:
@@ -184,10 +191,10 @@
         return self.policy.may_move(placement, now)
 
     def _can_spare_one(self, work: Work) -> bool:
-        """Are all replicas up, more than one, and none of them being moved?"""
+        """Returns whether all replicas run, there are several, and none of them is being moved."""
         uid = work.job.uid
         return (
-            work.job.spec.tasks >= 2
+            work.job.spec.tasks >= MIN_REPLICAS
             and not work.pending
             and self.fleet.placements.running_count(uid) >= work.job.spec.tasks
             and not any(task.job == uid for task in self._moves)
@@ -195,27 +202,27 @@
 
     def _overdue(self, work: Work) -> bool:
         spec, now = work.job.spec, self.context.now
-        late = spec.deadline_s is not None and now > work.job.submitted + spec.deadline_s
-        return late or now < work.aged_until
+        past_deadline = spec.deadline_s is not None and now > work.job.submitted + spec.deadline_s
+        return past_deadline or now < work.aged_until
 
-    def _targets(self, placement: Placement, machines: Iterable[Machine]) -> list[Machine]:
-        """Where the rules let the task go, with this attempt gone."""
+    def _find_targets(self, placement: Placement, machines: Iterable[Machine]) -> list[Machine]:
+        """Returns the machines where the task may go once this attempt has ended."""
         job = placement.job
         work = self.work[placement.task.job]
         assert job is not None
-        here = placement.machine
+        current = placement.machine
         return [
             m
             for m in machines
-            if m is not here
+            if m is not current
             and placement.size.fits(m.room)
             and permits(job, m)
-            and may_move_to(work, here.record.zone, m.record.zone)
+            and may_move_to(work, current.record.zone, m.record.zone)
             and (not job.spec.service or job.spec.image in m.images)
             and not m.holds(placement.task)
         ]
 
-    # --- a move --------------------------------------------------------------------------
+    # Execution
 
     def _begin(self, proposal: MoveProposal) -> None:
         placement, target = proposal.placement, proposal.target
@@ -223,7 +230,7 @@
             f"{placement.task} from {placement.machine.id} to {target.id}: {proposal.reason},"
             f" {proposal.gain_s:.0f} s to gain"
         )
-        # A dry run keeps to the same bounds, or its log would tell of moves that never could be.
+        # A dry run keeps to the same bounds; otherwise it would log moves that cannot occur.
         self.policy.record_move(placement.task, placement.machine.share.number, self.context.now)
         if self.policy.dry_run:
             self.counts["dry run"] += 1
@@ -232,42 +239,42 @@
         self.counts["begun"] += 1
         self.context.log("info", f"moving {text}")
         grace_s = grace(placement)
-        until = later(self.context.now, grace_s + STOP_SLACK_S)
-        self._moves[placement.task] = Migration(proposal, until)
+        deadline = later(self.context.now, grace_s + STOP_MARGIN_S)
+        self._moves[placement.task] = Migration(proposal, deadline)
         target.reserve(placement.task, placement.size)
         self.fleet.placements.stop(placement, grace_s)
 
-    def attempt_ended(self, placement: Placement, why: str) -> None:
-        """An attempt is over, for sure. Is its task being moved?"""
+    def attempt_ended(self, placement: Placement, reason: str) -> None:
+        """Takes note that an attempt has certainly ended, in case its task is being moved."""
         move = self._moves.get(placement.task)
         if move is None or move.placement is not placement:
             return
         if placement.task in self.fleet.placements.by_task:
-            self._give_up(placement.task, move, why)
+            self._give_up(placement.task, move, reason)
             return
-        move.ready = True
-        move.until = later(self.context.now, START_SLACK_S)
+        move.stopped = True
+        move.deadline = later(self.context.now, START_TIMEOUT_S)
 
     def serve(self, turn: Turn) -> None:
-        """Start the tasks of this share whose attempts are over, before all others."""
+        """Starts the moved tasks of this share whose attempts have ended, before all others."""
         for task, move in list(self._moves.items()):
-            if not move.ready or move.target.share is not turn.holding:
+            if not move.stopped or move.target.share is not turn.holding:
                 continue
             work = self.work.get(task.job)
             if work is None or task.number not in work.pending:
-                self._give_up(task, move, "it is not waiting any more")
+                self._give_up(task, move, "the task is not waiting any more")
                 continue
-            # Until here nothing else could take the room; now the ledger decides as for any task.
+            # The reservation kept the room until now. From here the task is checked like any other.
             move.target.unreserve(task)
-            if self._may_start(turn, work, task, move.target):
+            if self._can_start(turn, work, task, move.target):
                 del self._moves[task]
                 self.counts["completed"] += 1
                 attempt = turn.holding.next_attempt()
                 self.fleet.placements.place(work.job, task.number, move.target, attempt)
             else:
-                self._give_up(task, move, "its target can't take it")
+                self._give_up(task, move, "its target cannot take it")
 
-    def _may_start(self, turn: Turn, work: Work, task: TaskId, target: Machine) -> bool:
+    def _can_start(self, turn: Turn, work: Work, task: TaskId, target: Machine) -> bool:
         job = work.job
         return (
             not job.final
@@ -282,8 +289,8 @@
             and self.quota.allows(job, turn.unlocated_of(job.spec.team))
         )
 
-    def _give_up(self, task: TaskId, move: Migration, why: str) -> None:
+    def _give_up(self, task: TaskId, move: Migration, reason: str) -> None:
         del self._moves[task]
         move.target.unreserve(task)
         self.counts["given up"] += 1
-        self.context.log("info", f"move of {task} to {move.target.id} given up: {why}")
+        self.context.log("info", f"move of {task} to {move.target.id} given up: {reason}")
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -1,10 +1,15 @@
-"""The score of the SlackVM paper (Algorithm 2) and its documented extensions. Pure."""
+"""The placement score of the SlackVM paper (Algorithm 2), and sizes of tasks and machines.
+
+The functions here are pure. Extensions of the score are in `scoring`.
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MIN_CPUS = 1e-6  # a task that asks for no CPU counts as asking for this much
+MIN_CPUS = 1e-6  # a task that requests no CPUs counts as requesting this many
+SIZE_TOLERANCE = 1e-9  # CPUs, gigabytes or GPUs; absorbs rounding in sums of sizes
+UNLIMITED_COUNT = 1_000_000  # tasks of size zero that fit anywhere
 
 
 class Size(NamedTuple):
@@ -15,8 +20,8 @@
     gpus: float = 0.0
 
     def fits(self, room: Size) -> bool:
-        """Is there room for it?"""
-        slack = 1e-9
+        """Returns whether this size fits into the room."""
+        slack = SIZE_TOLERANCE
         return (
             self.cpus <= room.cpus + slack
             and self.memory <= room.memory + slack
@@ -24,15 +29,15 @@
         )
 
     def plus(self, other: Size) -> Size:
-        """The sum of both."""
+        """Returns the sum of both sizes."""
         return Size(self.cpus + other.cpus, self.memory + other.memory, self.gpus + other.gpus)
 
     def minus(self, other: Size) -> Size:
-        """What is left without the other."""
+        """Returns this size reduced by the other."""
         return Size(self.cpus - other.cpus, self.memory - other.memory, self.gpus - other.gpus)
 
     def times(self, count: int) -> Size:
-        """What so many tasks of this size take."""
+        """Returns the size of `count` tasks of this size."""
         return Size(self.cpus * count, self.memory * count, self.gpus * count)
 
 
@@ -40,10 +45,10 @@
 
 
 def progress_score(config: Size, allocated: Size, task: Size) -> float:
-    """Progress of a machine's memory-per-CPU allocation towards its hardware ratio.
+    """Returns the progress of a machine's memory-per-CPU allocation towards its hardware ratio.
 
-    Positive: the task brings the ratio nearer. A move away from it weighs more the
-    fuller the machine, so that unbalancing tasks go where balance can still be restored.
+    A positive score means that the task brings the ratio nearer. A move away from it weighs
+    more on a fuller machine, so that unbalancing tasks go where balance can still be restored.
     """
     target = config.memory / max(config.cpus, MIN_CPUS)
     cpus = max(task.cpus, MIN_CPUS)
@@ -60,6 +65,10 @@
 
 
 def count_fitting(task: Size, room: Size) -> int:
-    """How many such tasks fit into the room."""
-    counts = [int((have + 1e-9) / need) for need, have in zip(task, room, strict=True) if need > 0]
-    return max(0, min(counts)) if counts else 1_000_000
+    """Returns how many tasks of the size fit into the room."""
+    counts = [
+        int((have + SIZE_TOLERANCE) / need)
+        for need, have in zip(task, room, strict=True)
+        if need > 0
+    ]
+    return max(0, min(counts)) if counts else UNLIMITED_COUNT
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -1,10 +1,10 @@
 """The placements of tasks on the machines owned here, and their indexes.
 
-A task is *placed* from the moment an order to start it may leave until it is certain that
-it is not on that machine and can't start there any more. Certainty comes from one of: the
-worker says the attempt ended; a newer session; the machine is gone from the cloud; its
-lease has surely run out; or a message that shows a fencing token raised after the last
-order and does not list the attempt.
+A task is *placed* from the moment an order to start it may be sent until it is certain that
+the attempt is not on that machine and cannot start there any more. Any of these proves it: the
+worker reports that the attempt ended; the worker begins a newer session; the cloud no longer
+lists the machine; the lease of the worker has certainly expired; or a message shows a fencing
+token raised after the last order and does not list the attempt.
 """
 
 from __future__ import annotations
@@ -21,64 +21,67 @@
 
 
 class PlacementObserver(Protocol):
-    """Who hears of changes to the placements."""
+    """Receives notifications of changes to the placements."""
 
     def placement_added(self, placement: Placement) -> None:
         """The placement counts from now on."""
 
     def placement_removed(self, placement: Placement) -> None:
-        """The placement counts no longer."""
+        """The placement does not count any more."""
 
     def stop_requested(self, placement: Placement) -> None:
-        """The task was told to stop."""
+        """A stop of the task was requested."""
 
-    def attempt_ended(self, placement: Placement, why: str) -> None:
-        """The attempt is over for the reason given."""
+    def attempt_ended(self, placement: Placement, reason: str) -> None:
+        """The attempt has ended for the given reason."""
 
     def running_reported(self, placement: Placement) -> None:
-        """The task was reported as running."""
+        """The worker reported the task as running."""
 
     def capacity_changed(self) -> None:
-        """Something changed that may make room for waiting tasks."""
+        """A change may have made room for waiting tasks."""
 
 
 class PlacementTable:
-    """All placements, by machine, job and task."""
+    """All placements, indexed by machine, job and task."""
 
     def __init__(
-        self, context: Context, observer: PlacementObserver, wake: Callable[[MachineId], None]
+        self,
+        context: Context,
+        observer: PlacementObserver,
+        request_command: Callable[[MachineId], None],
     ) -> None:
         self.context = context
         self.observer = observer
-        self._wake = wake  # the worker has to be told something
-        self.by_task: dict[TaskId, list[Placement]] = {}  # active ones
-        self._by_job: dict[JobId, dict[Placement, None]] = {}  # active ones
+        self._request_command = request_command  # sends a command to the worker soon
+        self.by_task: dict[TaskId, list[Placement]] = {}  # active placements
+        self._by_job: dict[JobId, dict[Placement, None]] = {}  # active placements
         self._running: dict[JobId, int] = {}
         self._running_changed: dict[JobId, None] = {}
         self.running_pages = RunningPages(self._running, self._running_changed)
 
-    # --- lookups -------------------------------------------------------------------------
+    # Lookups
 
     def running_count(self, uid: JobId) -> int:
-        """How many tasks of the job run."""
+        """Returns how many tasks of the job run."""
         return self._running.get(uid, 0)
 
     def of_job(self, uid: JobId) -> list[Placement]:
-        """Its active placements."""
+        """Returns the active placements of the job."""
         return list(self._by_job.get(uid, ()))
 
-    # --- changes -------------------------------------------------------------------------
+    # Changes
 
     def place(self, job: Job, index: int, machine: Machine, attempt: Attempt) -> Placement:
-        """Decide that the task goes to the machine: the worker will be told."""
+        """Places the task on the machine and has its worker ordered to start it."""
         task = TaskId(job.uid, index)
         placement = Placement(task, attempt, machine, job, self.context.now)
         self.insert(placement)
-        self._wake(machine.id)
+        self._request_command(machine.id)
         return placement
 
     def insert(self, placement: Placement) -> None:
-        """Add a placement that was decided or found."""
+        """Adds a placement that was decided here or found in a report."""
         machine = placement.machine
         machine.placements[(placement.task, placement.attempt)] = placement
         machine.empty_since = None
@@ -100,28 +103,31 @@
         placement.machine.use(placement.machine.used.minus(placement.size))
         placement.machine.count_rank(placement, -1)
         placement.machine.fetches = None
-        held = self._by_job[placement.task.job]
-        del held[placement]
-        if not held:
+        job_placements = self._by_job[placement.task.job]
+        del job_placements[placement]
+        if not job_placements:
             del self._by_job[placement.task.job]
         if stage in RUNNING:
             self._count_running(placement.task.job, -1)
         if placement.job is not None and placement.job.spec.service:
             placement.machine.add_lasting(-placement.size.cpus)
-        others = self.by_task[placement.task]
-        others.remove(placement)
-        if not others:
+        task_placements = self.by_task[placement.task]
+        task_placements.remove(placement)
+        if not task_placements:
             del self.by_task[placement.task]
         self.observer.placement_removed(placement)
 
-    def _count_running(self, job: JobId, by: int) -> None:
+    def _count_running(self, job: JobId, delta: int) -> None:
         self._running_changed[job] = None
-        self._running[job] = self._running.get(job, 0) + by
+        self._running[job] = self._running.get(job, 0) + delta
         if not self._running[job]:
             del self._running[job]
 
-    def remove(self, placement: Placement, why: str) -> None:
-        """The placement is over, or known to be nowhere, for the reason given."""
+    def remove(self, placement: Placement, reason: str) -> None:
+        """Removes a placement whose attempt ended or is certainly on no machine.
+
+        `reason` is passed on to the observer.
+        """
         machine = placement.machine
         machine.placements.pop((placement.task, placement.attempt), None)
         active, stage = placement.active, placement.stage
@@ -132,13 +138,13 @@
             machine.emptied()
             machine.empty_since = self.context.now
         if active:
-            self.observer.attempt_ended(placement, why)
+            self.observer.attempt_ended(placement, reason)
 
     def stop(self, placement: Placement, grace_s: float = 0.0) -> None:
-        """Have the task stopped, with that much time to save."""
+        """Has the task stopped, with `grace_s` seconds to save its progress."""
         if not placement.active or (placement.stopping and grace_s >= placement.grace_s):
             return
-        placement.forced = placement.stopping  # a second order ends the saving
+        placement.forced = placement.stopping  # a second order cuts the saving short
         if not placement.stopping:
             placement.machine.count_rank(placement, -1)
             placement.stopping = True
@@ -146,15 +152,15 @@
             self.observer.stop_requested(placement)
         placement.grace_s = grace_s
         if not placement.seen and not placement.fence:
-            # An order to start it may be under way, and a stop before it has no effect:
-            # only a token raised now makes sure that it can't start later.
+            # An order to start the task may be in flight, and a stop that arrives before it has no
+            # effect: only a token raised now ensures that the task cannot start later.
             placement.fence = placement.machine.raise_fence()
-        self._wake(placement.machine.id)
+        self._request_command(placement.machine.id)
 
-    # --- what workers report -------------------------------------------------------------
+    # Reports of workers
 
     def update(self, machine: Machine, entry: TaskReport, job: Job | None) -> None:
-        """Take what a report says of one task; `job` is None if it is not known yet."""
+        """Applies a report's entry on one task; `job` is None if it is not known yet."""
         placement = machine.placements.get((entry.task, entry.attempt))
         if placement is None:
             # Started by an earlier owner of the share.
@@ -169,7 +175,7 @@
             self._change_stage(placement, entry, job)
 
     def _attach_job(self, placement: Placement, job: Job) -> None:
-        """Count the placement from now on with its size."""
+        """Attaches the job, so that the placement counts with its size from now on."""
         if placement.active:
             self._deactivate(placement, placement.stage)
         placement.job, placement.size = job, job.size
@@ -181,7 +187,7 @@
         before, placement.stage = placement.stage, entry.stage
         machine.fetches = None
         if entry.stage == "ended":
-            self._ended(placement, before, entry.cause)
+            self._end_attempt(placement, before, entry.cause)
         elif before == "ended":
             self._activate(placement)
         elif (before in RUNNING) != (entry.stage in RUNNING):
@@ -193,7 +199,7 @@
                     placement.ran_since = self.context.now
                 self.observer.running_reported(placement)
 
-    def _ended(self, placement: Placement, before: str, cause: str) -> None:
+    def _end_attempt(self, placement: Placement, before: str, cause: str) -> None:
         placement.cause = cause
         if before != "ended":
             placement.stage_before = before
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -1,4 +1,4 @@
-"""Which lesser work is stopped so that a waiting task fits."""
+"""Preemption: stops work of lower priority so that waiting tasks fit."""
 
 from __future__ import annotations
 
@@ -20,11 +20,13 @@
 from .turn import Turn
 from .work import Work, fetch_s, permits, zone_open
 
-MIN_RUNTIME_S = 3.0  # what was placed since is not stopped for a guarantee
+MIN_RUNTIME_S = 3.0  # a task placed less long ago is not stopped for a guarantee
+CPU_TOLERANCE = 1e-6  # CPUs; absorbs rounding in sums of sizes
+CANDIDATES_PER_TASK = 4  # machines that are considered at least for each missing task
 
 
 class Preemption:
-    """Chooses and stops lesser work."""
+    """Chooses and stops work of lower priority."""
 
     def __init__(
         self,
@@ -43,89 +45,94 @@
         self.budget = budget
         self.work = work
         self.gangs = gangs
-        # Sizes for which, in this turn, nothing could be stopped to make room; by who asks.
-        self._hopeless: dict[tuple[Any, ...], list[Size]] = {}
+        # Sizes for which nothing can be stopped to make room in this turn, by the properties of the
+        # request that decide it.
+        self._unsatisfiable: dict[tuple[Any, ...], list[Size]] = {}
 
     def begin(self) -> None:
-        """A turn begins."""
-        self._hopeless.clear()
+        """Begins a turn."""
+        self._unsatisfiable.clear()
 
-    def make_room(self, turn: Turn, work: Work, missing: int, within: float = math.inf) -> int:
-        """Stop lesser work where the waiting task then fits, and has its image `within`
-        seconds; least work lost first. Returns for how many tasks.
+    def make_room(
+        self, turn: Turn, work: Work, missing: int, fetch_limit_s: float = math.inf
+    ) -> int:
+        """Stops work of lower priority so that up to `missing` tasks fit; returns for how many.
 
-        Only as many tasks are served by a guarantee as lie within it, and no team is brought
-        below its own: else two teams would stop each other's tasks in turn.
+        Machines are used in the order of the work lost, and only if they hold the image of the
+        job within `fetch_limit_s` seconds. A guarantee serves only as many tasks as lie within
+        it, and brings no team below its own guarantee: otherwise two teams would stop each
+        other's tasks in turn.
         """
         job = work.job
         guaranteed = self.quota.guaranteed_count(job)
         if not self.quota.any_preemptible(job, guaranteed > 0):
             return 0
         spec = job.spec
-        asks = (
+        request = (
             spec.rank,
             spec.spot,
             spec.types,
             spec.zone,
             spec.team if guaranteed > 0 else "",
-            tuple(z for z in work.zones if not zone_open(work, z)),
-            spec.image if within < math.inf else "",
+            tuple(zone for zone in work.zones if not zone_open(work, zone)),
+            spec.image if fetch_limit_s < math.inf else "",
         )
-        if any(size.fits(job.size) for size in self._hopeless.get(asks, ())):
+        if any(size.fits(job.size) for size in self._unsatisfiable.get(request, ())):
             return 0
         stopping = self.quota.stopping
-        made: dict[str, int] = {}  # by zone
+        served_by_zone: dict[str, int] = {}  # tasks for which room was made
 
-        def cost(machine: Machine) -> tuple[float, list[Placement]] | None:
+        def preemption_cost(machine: Machine) -> tuple[float, list[Placement]] | None:
             zone = machine.record.zone
-            if not zone_open(work, zone, made.get(zone, 0)) or (
-                within < math.inf and fetch_s(job, machine) > within
+            if not zone_open(work, zone, served_by_zone.get(zone, 0)) or (
+                fetch_limit_s < math.inf and fetch_s(job, machine) > fetch_limit_s
             ):
                 return None
-            found = self.find_victims(job, machine, guaranteed > 0, stopping)
-            if found is None:
+            victims = self.find_victims(job, machine, guaranteed > 0, stopping)
+            if victims is None:
                 return None
-            lost = sum(self.gangs.lost(v) for v in found)
-            return lost + (fetch_s(job, machine) if job.spec.service else 0.0), found
+            lost_s = sum(self.gangs.lost(victim) for victim in victims)
+            return lost_s + (fetch_s(job, machine) if job.spec.service else 0.0), victims
 
         candidates: list[tuple[float, str, Machine]] = []
-        # Most machines hold nothing that might make way: to go through their tasks costs more.
-        above = spec.rank - (guaranteed > 0)
-        enough = job.size.cpus - 1e-6
+        # Most machines hold nothing that may be stopped. The CPUs by rank tell so at less cost than
+        # a pass over their tasks.
+        rank = spec.rank - (guaranteed > 0)
+        min_cpus = job.size.cpus - CPU_TOLERANCE
         pool = self.budget.sample(
             [
                 m
                 for m in turn.usable()
                 if m.id not in turn.claimed
                 and m.id not in turn.reserved
-                and m.below(above) >= enough
+                and m.below(rank) >= min_cpus
                 and permits(job, m)
             ],
-            4 * missing,
+            CANDIDATES_PER_TASK * missing,
         )
         self.budget.weigh_tasks(pool)
         for machine in pool:
-            found = cost(machine)
-            if found is not None:
-                candidates.append((found[0], machine.id, machine))
+            option = preemption_cost(machine)
+            if option is not None:
+                candidates.append((option[0], machine.id, machine))
         if not candidates:
-            self._hopeless.setdefault(asks, []).append(job.size)
+            self._unsatisfiable.setdefault(request, []).append(job.size)
         heapq.heapify(candidates)
         while missing > 0 and candidates:
-            before, _, machine = heapq.heappop(candidates)
-            # What was stopped since may have changed what may be stopped here.
-            found = cost(machine)
-            if found is None:
+            expected_s, _, machine = heapq.heappop(candidates)
+            # The stops since then may have changed what may be stopped on this machine.
+            option = preemption_cost(machine)
+            if option is None:
                 continue
-            if found[0] > before:
-                heapq.heappush(candidates, (found[0], machine.id, machine))
+            if option[0] > expected_s:
+                heapq.heappush(candidates, (option[0], machine.id, machine))
                 continue
             missing -= 1
             guaranteed -= 1
-            made[machine.record.zone] = made.get(machine.record.zone, 0) + 1
+            served_by_zone[machine.record.zone] = served_by_zone.get(machine.record.zone, 0) + 1
             turn.claimed.add(machine.id)
-            self._stop(found[1], job)
-        return sum(made.values())
+            self._stop(option[1], job)
+        return sum(served_by_zone.values())
 
     def _stop(self, victims: list[Placement], job: Job) -> None:
         for victim in victims:
@@ -133,14 +140,17 @@
             self.gangs.stop(victim)
 
     def make_room_for_gang(self, turn: Turn, work: Work) -> None:
-        """The same for a gang: room for all its tasks is made, in one zone if it says so, or for
-        none. Only one that lies within its team's guarantee as a whole is served by it."""
-        job, n = work.job, len(work.pending)
-        guaranteed = self.quota.guaranteed_count(job) >= n
+        """Stops work of lower priority so that all pending tasks of a gang fit, or stops none.
+
+        All tasks are placed in one zone if the gang requires it. A guarantee serves a gang only
+        if the gang lies within it as a whole.
+        """
+        job, task_count = work.job, len(work.pending)
+        guaranteed = self.quota.guaranteed_count(job) >= task_count
         if not self.quota.any_preemptible(job, guaranteed):
             return
-        asks = (job.uid, n)
-        if asks in self._hopeless:
+        request = (job.uid, task_count)
+        if request in self._unsatisfiable:
             return
         pool = [
             m
@@ -149,37 +159,39 @@
             and permits(job, m)
             and turn.reserved.get(m.id, job.uid) == job.uid
             and zone_open(work, m.record.zone)
-            and m.below(job.spec.rank - guaranteed) >= job.size.cpus - 1e-6
+            and m.below(job.spec.rank - guaranteed) >= job.size.cpus - CPU_TOLERANCE
         ]
         self.budget.weigh_tasks(pool)
         zones: dict[str, list[tuple[float, str, Machine, int]]] = {}
         for machine in pool:
-            count = n
+            count = task_count
             while (
                 count
                 and (
-                    found := self.find_victims(job, machine, guaranteed, self.quota.stopping, count)
+                    victims := self.find_victims(
+                        job, machine, guaranteed, self.quota.stopping, count
+                    )
                 )
                 is None
             ):
                 count //= 2
             if count:
-                lost = sum(self.gangs.lost(v) for v in found or ()) + fetch_s(job, machine)
+                lost_s = sum(self.gangs.lost(v) for v in victims or ()) + fetch_s(job, machine)
                 zone = machine.record.zone if job.spec.together else ""
-                zones.setdefault(zone, []).append((lost / count, machine.id, machine, count))
+                zones.setdefault(zone, []).append((lost_s / count, machine.id, machine, count))
         best: tuple[float, list[tuple[Machine, int]]] | None = None
         for options in zones.values():
-            lost, left, chosen = 0.0, n, []
-            for each, _, machine, count in sorted(options, key=lambda o: o[:2]):
-                if left <= 0:
+            lost_s, missing, chosen = 0.0, task_count, []
+            for task_lost_s, _, machine, count in sorted(options, key=lambda o: o[:2]):
+                if missing <= 0:
                     break
-                chosen.append((machine, min(count, left)))
-                lost += each * min(count, left)
-                left -= count
-            if left <= 0 and (best is None or lost < best[0]):
-                best = (lost, chosen)
+                chosen.append((machine, min(count, missing)))
+                lost_s += task_lost_s * min(count, missing)
+                missing -= count
+            if missing <= 0 and (best is None or lost_s < best[0]):
+                best = (lost_s, chosen)
         if best is None:
-            self._hopeless[asks] = []
+            self._unsatisfiable[request] = []
             return
         for machine, count in best[1]:
             turn.claimed.add(machine.id)
@@ -195,7 +207,10 @@
         stopping: dict[Team, Size],
         count: int = 1,
     ) -> list[Placement] | None:
-        """What to stop on the machine so that so many tasks of the job fit; None: it can't."""
+        """Returns what to stop on the machine so that `count` tasks fit; None if they cannot.
+
+        `stopping` is the size of what is being stopped already, by team.
+        """
         size = job.size.times(count)
         room = machine.room
         active = [p for p in machine.placements.values() if p.active]
@@ -203,19 +218,19 @@
             if placement.stopping:
                 room = room.plus(placement.size)
         victims: list[Placement] = []
-        more = dict(stopping)
+        planned_stopping = dict(stopping)
         for placement in sorted((p for p in active if not p.stopping), key=self.gangs.lost):
             if size.fits(room):
                 break
             if placement.job is None:
                 continue
             team = Team(placement.job.spec.team)
-            # One task of an array would stop many, which then fill other gaps, to be stopped for
-            # the next: a gang makes way for replicas and for gangs only.
+            # A gang is stopped only for replicas and gangs. One task of an array would stop many
+            # tasks of a gang, which then fill other gaps and are stopped for the next task.
             if placement.job.spec.gang and not (job.spec.service or job.spec.gang):
                 continue
-            # Else what began at last, with least to lose, would be stopped at once, and started
-            # and stopped again many times a second.
+            # Otherwise work that starts after a long wait, and has the least to lose, is stopped at
+            # once, and is started and stopped again many times a second.
             work = self.work.get(placement.task.job)
             if work is not None and self.context.now < work.aged_until:
                 continue
@@ -224,8 +239,10 @@
                 or (work is not None and self.order.overdue(work))
             ):
                 continue
-            if self.quota.may_preempt(job, guaranteed, placement, more.get(team, ZERO_SIZE)):
-                more[team] = more.get(team, ZERO_SIZE).plus(placement.size)
+            if self.quota.may_preempt(
+                job, guaranteed, placement, planned_stopping.get(team, ZERO_SIZE)
+            ):
+                planned_stopping[team] = planned_stopping.get(team, ZERO_SIZE).plus(placement.size)
                 victims.append(placement)
                 room = room.plus(placement.size)
         return victims if size.fits(room) else None
--- a/runcourse/locality/__init__.py
+++ b/runcourse/locality/__init__.py
@@ -1,1 +1,1 @@
-"""Placement near data, and bounded rebalancing of running work. Off unless a file names it."""
+"""Placement near data and bounded rebalancing of running work; off unless a file enables it."""
--- a/runcourse/locality/costs.py
+++ b/runcourse/locality/costs.py
@@ -1,17 +1,17 @@
-"""What a machine costs a task, in seconds: transfer of its data, and slowdown by load."""
+"""The cost of a machine for a task, in seconds: data transfer, and slowdown by load."""
 
 from __future__ import annotations
 
 from ..core.ids import Instant
 from ..core.jobs import JobSpec
 from ..core.machine import Machine
-from .load import LoadTracker, committed
+from .load import NORMAL_SLOWNESS, LoadTracker, committed_fraction
 from .settings import LocalitySettings
 from .sources import SourceTable
 
 
 class Costs:
-    """Expected seconds, by what is known of sources and machines."""
+    """Estimates costs in seconds from the data sources and the load of machines."""
 
     def __init__(
         self, settings: LocalitySettings, sources: SourceTable, tracker: LoadTracker
@@ -20,26 +20,30 @@
         self.sources = sources
         self.tracker = tracker
 
-    def run_s(self, spec: JobSpec) -> float:
-        """The run time that slowdown is reckoned over."""
+    def run_time_s(self, spec: JobSpec) -> float:
+        """Returns the run time in seconds over which a slowdown is counted."""
         return self.settings.replica_horizon if spec.service else spec.estimate_s
 
     def transfer_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
-        """Seconds that the task's reads take on the machine."""
+        """Returns the seconds that the reads of one task take on the machine."""
         return self.sources.transfer_s(spec, machine.record.zone, now)
 
-    def slowdown(self, spec: JobSpec, machine: Machine, part: float) -> float:
-        """The part of its run time that a task loses there, while `part` is committed.
+    def slowdown(self, spec: JobSpec, machine: Machine, committed: float) -> float:
+        """Returns the fraction of its run time that a task loses on the machine.
 
-        Load is weighed for tasks that read a source, against the time that their reads take. Others
-        fill machines as ever: to spread them would leave none empty to be returned.
+        `committed` is the fraction of the machine's CPUs that is allocated or reserved. Load
+        counts only for tasks that read a source, against the time that their reads take. Other
+        tasks fill machines as they do without the policy: if they were spread, no machine would
+        become empty and could be returned.
         """
-        slower = self.tracker.slowness(machine.id) - 1.0
-        if not self.sources.read_by(spec):
-            return slower
-        return slower + self.settings.load_slowdown * min(max(part, 0.0), 1.0)
+        excess = self.tracker.slowness(machine.id) - NORMAL_SLOWNESS
+        if not self.sources.sources_read_by(spec):
+            return excess
+        return excess + self.settings.load_slowdown * min(max(committed, 0.0), 1.0)
 
     def placement_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
-        """Seconds by which a task is held up there; 0 where nothing is known against it."""
-        slowdown_s = self.run_s(spec) * self.slowdown(spec, machine, committed(machine))
+        """Returns the expected delay of a task on the machine, in seconds; 0 if none is known."""
+        slowdown_s = self.run_time_s(spec) * self.slowdown(
+            spec, machine, committed_fraction(machine)
+        )
         return self.transfer_s(spec, machine, now) + slowdown_s
--- a/runcourse/locality/fairness.py
+++ b/runcourse/locality/fairness.py
@@ -1,8 +1,9 @@
-"""Fair parts of the machines near a source, among the teams that read it.
+"""Fair division of the machines near a data source among the teams that read it.
 
-A team that holds more than its part leaves those machines to a team that holds less and waits for
-them, or runs elsewhere meanwhile. Nothing is stopped for it, and where no other machine has room
-nobody is held back: so neither can a hot team starve a quiet one, nor a quiet one idle machines.
+A team that holds more than its fair part leaves those machines to a team that holds less and waits
+for them, or that runs elsewhere meanwhile. No task is stopped for it, and a team may use the
+machines all the same where no other machine has room. So a busy team cannot starve a quiet one,
+and a quiet team cannot keep machines idle.
 """
 
 from __future__ import annotations
@@ -17,18 +18,19 @@
 from .sources import SourceTable
 
 
-class _Held(NamedTuple):
-    """CPUs that a team's tasks hold near a source and elsewhere."""
+class _HeldCpus(NamedTuple):
+    """CPUs that the tasks of a team hold near a source and elsewhere."""
 
     near: float
     elsewhere: float
 
 
-NOTHING_HELD = _Held(0.0, 0.0)
+MIN_READERS = 2  # a source read by fewer teams needs no division
+NO_CPUS_HELD = _HeldCpus(0.0, 0.0)
 
 
 class SourceFairness:
-    """Who leaves the machines near a source to whom; reckoned anew now and then."""
+    """Determines which teams leave the machines near a source to others; updated at intervals."""
 
     def __init__(self, sources: SourceTable, guarantees: Mapping[str, float]) -> None:
         self.sources = sources
@@ -36,49 +38,52 @@
         self._held_back: dict[str, frozenset[str]] = {}  # source -> teams
 
     def recompute(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
-        """Count what teams hold near each source and what they wait for."""
+        """Determines anew which teams are held back near each source."""
         machines, works = list(machines), list(works)
         self._held_back = {
-            source.name: self._exceeding(source, machines, works)
+            source.name: self._teams_to_hold_back(source, machines, works)
             for source in self.sources.sources
-            if not self.sources.damped(source.name, now)
+            if not self.sources.is_damped(source.name, now)
         }
 
-    def _exceeding(
+    def _teams_to_hold_back(
         self, source: Source, machines: list[Machine], works: list[Work]
     ) -> frozenset[str]:
-        """Teams beyond their part, if any other waits for its own."""
-        readers = [w for w in works if source in self.sources.read_by(w.job.spec)]
+        """Returns the teams that hold their fair part or more while another waits for its own.
+
+        A team that runs tasks away from the source counts as waiting.
+        """
+        readers = [w for w in works if source in self.sources.sources_read_by(w.job.spec)]
         waiting = {w.job.spec.team for w in readers if w.pending}
         teams = {w.job.spec.team for w in readers}
-        if len(teams) < 2:
+        if len(teams) < MIN_READERS:
             return frozenset()
-        held = self._count(source, machines)
+        held = self._count_held(source, machines)
         capacity = sum(m.type.cpus for m in machines if m.type and m.record.zone in source.zones)
-        parts = self._fair_parts(teams, capacity)
-        below = {
+        fair_parts = self._fair_parts(teams, capacity)
+        below_fair_part = {
             team
             for team in teams
-            if held.get(team, NOTHING_HELD).near < parts[team]
-            and (team in waiting or held.get(team, NOTHING_HELD).elsewhere > 0)
+            if held.get(team, NO_CPUS_HELD).near < fair_parts[team]
+            and (team in waiting or held.get(team, NO_CPUS_HELD).elsewhere > 0)
         }
         return frozenset(
             team
             for team in teams
-            if held.get(team, NOTHING_HELD).near >= parts[team] and below - {team}
+            if held.get(team, NO_CPUS_HELD).near >= fair_parts[team] and below_fair_part - {team}
         )
 
-    def _count(self, source: Source, machines: list[Machine]) -> dict[str, _Held]:
-        found: dict[str, _Held] = {}
+    def _count_held(self, source: Source, machines: list[Machine]) -> dict[str, _HeldCpus]:
+        found: dict[str, _HeldCpus] = {}
         for machine in machines:
             near = machine.record.zone in source.zones
             for placement in machine.placements.values():
                 job = placement.job
                 if not placement.active or job is None:
                     continue
-                if source not in self.sources.read_by(job.spec):
+                if source not in self.sources.sources_read_by(job.spec):
                     continue
-                held = found.get(job.spec.team, NOTHING_HELD)
+                held = found.get(job.spec.team, NO_CPUS_HELD)
                 cpus = placement.size.cpus
                 found[job.spec.team] = (
                     held._replace(near=held.near + cpus)
@@ -88,7 +93,7 @@
         return found
 
     def _fair_parts(self, teams: set[str], capacity: float) -> dict[str, float]:
-        """The capacity, divided by guarantees where all have one, else evenly."""
+        """Divides the capacity by the teams' guarantees where all have one, otherwise evenly."""
         weights = {team: self.guarantees.get(team, 0.0) for team in teams}
         if not all(weights.values()):
             weights = dict.fromkeys(teams, 1.0)
@@ -96,10 +101,14 @@
         return {team: capacity * weight / total for team, weight in weights.items()}
 
     def candidates(self, work: Work, machines: list[Machine]) -> list[Machine]:
-        """The machines that a task of the job may take, if others than those held back are left."""
+        """Returns the machines that a task of the job may take.
+
+        The machines near sources where its team is held back are left out, unless no other is
+        available.
+        """
         spec = work.job.spec
         zones: set[str] = set()
-        for source in self.sources.read_by(spec):
+        for source in self.sources.sources_read_by(spec):
             if spec.team in self._held_back.get(source.name, ()):
                 zones.update(source.zones)
         if not zones:
--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -1,8 +1,9 @@
-"""How loaded machines are, from what the service knows.
+"""Load and slowness of machines, estimated from what the controller knows.
 
-PROTOCOL reports no usage. A machine's load is the committed part of its CPUs, and something for
-each image under way. Whether a machine is *slow* is another question: it is told from the
-durations of finished tasks against those of the same class elsewhere, whatever its load.
+PROTOCOL reports no usage. The load of a machine is the committed fraction of its CPUs, plus a
+constant for each image being fetched. Whether a machine is *slow* is decided separately, whatever
+its load: from the durations of tasks finished on it, compared with those of the same class
+elsewhere.
 """
 
 from __future__ import annotations
@@ -18,14 +19,15 @@
 from ..core.work import fetching
 from .settings import LocalitySettings
 
-FETCH_LOAD = 0.05  # for each image under way
-MOST_FETCH_LOAD = 0.2
-ACCURACY = 0.02  # relative, of a quantile
-CLASSES_KEPT = 200  # whose durations are remembered, those used last
-MIN_FINISHES = 5  # beyond which a machine's durations tell something
-MIN_SIBLINGS = 20  # the same, of a class
-SLOW_RATIO = 1.3  # of a machine's median against its siblings'
-MOST_SLOW_RATIO = 4.0  # that is reckoned with
+FETCH_LOAD = 0.05  # fraction of a machine, for each image being fetched
+MAX_FETCH_LOAD = 0.2  # fraction of a machine, for all images being fetched
+QUANTILE_ACCURACY = 0.02  # relative error of quantiles
+MAX_CLASSES = 200  # job classes whose durations are kept, the most recently used ones
+MIN_FINISHES = 5  # on a machine, before its durations count
+MIN_SIBLINGS = 20  # finished tasks of a class, before its durations count
+SLOW_RATIO = 1.3  # from which a machine is slow: its median duration relative to its siblings'
+MAX_SLOW_RATIO = 4.0  # higher ratios count as this one
+NORMAL_SLOWNESS = 1.0  # of a machine that is not known to be slow
 MEDIAN = 0.5
 
 
@@ -37,80 +39,87 @@
     HOT = "hot"
 
 
-class _Trend:
-    """A machine's state, and the one it is about to change to."""
+class _HeatState:
+    """The heat of a machine, and the one it changes to if it persists for the dwell time."""
 
-    __slots__ = ("heat", "next", "since")
+    __slots__ = ("candidate", "candidate_since", "heat")
 
     def __init__(self, now: Instant) -> None:
         self.heat = Heat.WARM
-        self.next = Heat.WARM
-        self.since = now
+        self.candidate = Heat.WARM
+        self.candidate_since = now
 
 
-def committed(machine: Machine) -> float:
-    """The part of the machine's CPUs that is allocated or reserved."""
+def committed_fraction(machine: Machine) -> float:
+    """Returns the fraction of the machine's CPUs that is allocated or reserved."""
     if machine.type is None or machine.type.cpus <= 0:
         return 1.0
     return 1.0 - machine.room.cpus / machine.type.cpus
 
 
-def load(machine: Machine) -> float:
-    """Committed CPUs and fetches under way, as a part of the machine."""
-    return committed(machine) + min(FETCH_LOAD * len(fetching(machine)), MOST_FETCH_LOAD)
+def machine_load(machine: Machine) -> float:
+    """Returns the load by committed CPUs and image fetches, as a fraction of the machine."""
+    return committed_fraction(machine) + min(FETCH_LOAD * len(fetching(machine)), MAX_FETCH_LOAD)
 
 
 class LoadTracker:
-    """Tells hot, cool and slow machines, with two thresholds and a least dwell time."""
+    """Classifies machines as hot, warm or cool, and finds slow ones.
+
+    Heat has two thresholds with hysteresis, and changes only after a dwell time.
+    """
 
     def __init__(self, settings: LocalitySettings) -> None:
         self.settings = settings
-        self._trends: dict[MachineId, _Trend] = {}
+        self._heat_states: dict[MachineId, _HeatState] = {}
         self._class_durations: OrderedDict[tuple[str, str], DDSketch] = OrderedDict()
-        self._ratios: dict[MachineId, DDSketch] = {}  # against siblings of the same class
+        self._ratios: dict[MachineId, DDSketch] = {}  # of durations to those of siblings
         self._slowness: dict[MachineId, float] = {}  # of machines known to be slow
 
-    # --- hot and cool --------------------------------------------------------------------
+    # Heat
 
     def observe(self, machine: Machine, now: Instant) -> None:
-        """Look at the machine's load now."""
-        trend = self._trends.get(machine.id)
-        if trend is None:
-            trend = self._trends[machine.id] = _Trend(now)
-        seen = self._classify(load(machine), trend.heat)
-        if seen is not trend.next:
-            trend.next, trend.since = seen, now
-        if trend.next is not trend.heat and now >= trend.since + self.settings.dwell:
-            trend.heat = trend.next
-
-    def _classify(self, value: float, present: Heat) -> Heat:
-        """A hot machine stays hot until it is well below, and a cool one cool until well above."""
-        if value >= self.settings.hot:
+        """Updates the heat of the machine by its present load."""
+        state = self._heat_states.get(machine.id)
+        if state is None:
+            state = self._heat_states[machine.id] = _HeatState(now)
+        observed = self._classify(machine_load(machine), state.heat)
+        if observed is not state.candidate:
+            state.candidate, state.candidate_since = observed, now
+        if state.candidate is not state.heat and now >= state.candidate_since + self.settings.dwell:
+            state.heat = state.candidate
+
+    def _classify(self, load: float, current: Heat) -> Heat:
+        """Returns the heat for a load, with hysteresis.
+
+        A hot machine stays hot, and a cool one cool, until its load crosses the middle between
+        the two thresholds.
+        """
+        if load >= self.settings.hot:
             return Heat.HOT
-        if value <= self.settings.cool:
+        if load <= self.settings.cool:
             return Heat.COOL
         middle = (self.settings.hot + self.settings.cool) / 2
-        if present is Heat.HOT and value > middle:
+        if current is Heat.HOT and load > middle:
             return Heat.HOT
-        if present is Heat.COOL and value < middle:
+        if current is Heat.COOL and load < middle:
             return Heat.COOL
         return Heat.WARM
 
     def heat(self, id: MachineId) -> Heat:
-        """The machine's state; warm if it was not observed."""
-        trend = self._trends.get(id)
-        return trend.heat if trend is not None else Heat.WARM
+        """Returns the heat of the machine; warm if it was never observed."""
+        state = self._heat_states.get(id)
+        return state.heat if state is not None else Heat.WARM
 
     def retain_only(self, ids: set[MachineId]) -> None:
-        """Machines that are not owned here any more are not remembered."""
-        for known in (self._trends, self._ratios, self._slowness):
-            for id in [id for id in known if id not in ids]:
-                del known[id]
+        """Forgets all machines but those given, which are owned here."""
+        for by_machine in (self._heat_states, self._ratios, self._slowness):
+            for id in [id for id in by_machine if id not in ids]:
+                del by_machine[id]
 
-    # --- slow machines -------------------------------------------------------------------
+    # Slow machines
 
     def record_completion(self, spec: JobSpec, machine: Machine, ran_s: float) -> None:
-        """A task completed after running for so long."""
+        """Records that a task completed on the machine after `ran_s` seconds."""
         if spec.estimate_s <= 0 or ran_s <= 0:
             return
         duration = ran_s / spec.estimate_s
@@ -120,27 +129,27 @@
             if median:
                 ratios = self._ratios.get(machine.id)
                 if ratios is None:
-                    ratios = self._ratios[machine.id] = DDSketch(ACCURACY)
+                    ratios = self._ratios[machine.id] = DDSketch(QUANTILE_ACCURACY)
                 ratios.add(duration / median)
-                self._judge(machine.id, ratios)
+                self._update_slowness(machine.id, ratios)
         siblings.add(duration)
 
     def _siblings(self, key: tuple[str, str]) -> DDSketch:
         sketch = self._class_durations.get(key)
         if sketch is None:
-            sketch = self._class_durations[key] = DDSketch(ACCURACY)
-            while len(self._class_durations) > CLASSES_KEPT:
+            sketch = self._class_durations[key] = DDSketch(QUANTILE_ACCURACY)
+            while len(self._class_durations) > MAX_CLASSES:
                 self._class_durations.popitem(last=False)
         self._class_durations.move_to_end(key)
         return sketch
 
     def slowness(self, id: MachineId) -> float:
-        """How many times as long tasks take there as elsewhere; 1 unless it is known to be slow."""
-        return self._slowness.get(id, 1.0)
+        """Returns the ratio of durations there to those elsewhere; 1 unless known to be slow."""
+        return self._slowness.get(id, NORMAL_SLOWNESS)
 
-    def _judge(self, id: MachineId, ratios: DDSketch) -> None:
-        median = ratios.get_quantile_value(MEDIAN) or 1.0
+    def _update_slowness(self, id: MachineId, ratios: DDSketch) -> None:
+        median = ratios.get_quantile_value(MEDIAN) or NORMAL_SLOWNESS
         if ratios.count >= MIN_FINISHES and median >= SLOW_RATIO:
-            self._slowness[id] = min(median, MOST_SLOW_RATIO)
+            self._slowness[id] = min(median, MAX_SLOW_RATIO)
         else:
             self._slowness.pop(id, None)
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -1,4 +1,4 @@
-"""The placement policy of the locality package: sources, load, fairness and rebalancing as one."""
+"""The placement policy of the locality package: sources, load, fairness and rebalancing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..core.work import Work
 from .costs import Costs
 from .fairness import SourceFairness
-from .load import Heat, LoadTracker
+from .load import NORMAL_SLOWNESS, Heat, LoadTracker
 from .rebalancer import MoveBounds, Rebalancer
 from .settings import LocalitySettings
 from .sources import SourceTable
@@ -31,86 +31,89 @@
         self.rebalancer = Rebalancer(settings, self.costs, self.tracker)
         self.source_fairness = SourceFairness(self.sources, guarantees)
         self._planned_at: dict[ShareNo, Instant] = {}
-        self._machines: set[MachineId] = set()
+        self._observed: set[MachineId] = set()
 
     def replace(self, settings: LocalitySettings, now: Instant) -> list[str]:
-        """Put other settings in force; returns a line for each source that is damped by it."""
+        """Applies other settings; returns a log line for each source that is damped from now on."""
         self.settings = settings
-        for part in (self.tracker, self.costs, self.rebalancer):
-            part.settings = settings
+        for component in (self.tracker, self.costs, self.rebalancer):
+            component.settings = settings
         self.bounds.replace(settings)
         return [
-            f"source {name}: its place changes too often, it counts as lying nowhere for"
+            f"source {name}: its place changes too often, it is ignored for"
             f" {settings.flap_hold:.0f} s"
             for name in self.sources.replace(settings, now)
         ]
 
     @property
     def active(self) -> bool:
-        """Is there anything to weigh?"""
+        """Returns whether the policy influences placement."""
         return self.settings.weight > 0
 
     @property
     def rebalances(self) -> bool:
-        """May moves be proposed?"""
+        """Returns whether moves may be proposed."""
         return self.active and self.settings.rebalance
 
     @property
     def dry_run(self) -> bool:
-        """Are moves only to be logged?"""
+        """Returns whether moves are only logged."""
         return self.settings.dry_run
 
-    # --- placement -----------------------------------------------------------------------
+    # Placement
 
     def cost_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
-        """Seconds by which the machine is worse for a task, weighted."""
+        """Returns the weighted delay in seconds that the machine means for a task."""
         return self.settings.weight * self.costs.placement_s(spec, machine, now)
 
     def candidates(self, work: Work, machines: list[Machine]) -> list[Machine]:
-        """The machines left to a task of the job."""
+        """Returns the machines that a task of the job may take."""
         return self.source_fairness.candidates(work, machines)
 
-    # --- what is learnt ------------------------------------------------------------------
+    # Observations
 
     def observe(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
-        """Look at the machines owned here, and at what waits."""
+        """Updates load and fairness from the machines owned here and the open work."""
         machines = list(machines)
         for machine in machines:
             self.tracker.observe(machine, now)
-        self._machines = {machine.id for machine in machines}
-        self.tracker.retain_only(self._machines)
+        self._observed = {machine.id for machine in machines}
+        self.tracker.retain_only(self._observed)
         self.source_fairness.recompute(machines, works, now)
-        self.bounds.tidy(now)
+        self.bounds.forget_old_moves(now)
 
     def finished(self, placement: Placement, ran_s: float) -> None:
-        """A task completed after running for so long."""
+        """Records that a task completed after running for `ran_s` seconds."""
         if placement.job is not None:
-            self.tracker.finished(placement.job.spec, placement.machine, ran_s)
+            self.tracker.record_completion(placement.job.spec, placement.machine, ran_s)
 
     def share_gained(self, holding: Holding, now: Instant) -> None:
-        """A share is owned here from now on."""
+        """Begins the move budget of a share that is owned here from now on."""
         self.bounds.share_gained(holding.number, now)
 
     def share_lost(self, share: ShareNo) -> None:
-        """A share is not owned here any more."""
+        """Forgets a share that is not owned here any more."""
         self.bounds.share_lost(share)
         self._planned_at.pop(share, None)
 
-    # --- moves ---------------------------------------------------------------------------
+    # Moves
 
     def may_move(self, placement: Placement, now: Instant) -> bool:
-        """Is the task past its cooldown?"""
+        """Returns whether the cooldown of the task is over."""
         return self.bounds.may_move(placement, now)
 
     def sample_size(self) -> int:
-        """How many machines a plan looks at."""
+        """Returns how many machines a plan considers."""
         return self.settings.sample
 
     def may_plan(self, share: ShareNo, now: Instant) -> bool:
-        """Is it time for a plan of the share, and is there a move left in its budget?"""
+        """Returns whether a plan of the share is due and its budget allows a move.
+
+        If so, the time of the plan is recorded.
+        """
         if now < self._planned_at.get(share, LONG_AGO) + self.settings.interval:
             return False
-        if self.bounds.left(share, now) < 1.0:
+        if self.bounds.moves_left(share, now) < 1.0:
             return False
         self._planned_at[share] = now
         return True
@@ -118,23 +121,23 @@
     def propose(
         self, share: ShareNo, candidates: Sequence[Candidate], now: Instant
     ) -> MoveProposal | None:
-        """The best move among the candidates, if any is worth it."""
+        """Returns the best move among the candidates; None if no move is worth its cost."""
         return self.rebalancer.propose(candidates, now)
 
     def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
-        """A move of the task was begun."""
+        """Counts a move of the task that was begun."""
         self.bounds.record_move(task, share, now)
 
-    # --- operators -----------------------------------------------------------------------
+    # Status for operators
 
     def heat_of(self, id: MachineId) -> str:
-        """The state of the machine's load."""
+        """Returns the heat of the machine, and whether it is slow."""
         heat = self.tracker.heat(id).value
-        return f"{heat}, slow" if self.tracker.slowness(id) > 1.0 else heat
+        return f"{heat}, slow" if self.tracker.slowness(id) > NORMAL_SLOWNESS else heat
 
     def status(self, now: Instant) -> dict[str, Any]:
-        """Sources, budgets and machines by heat."""
-        heats = [self.tracker.heat(id) for id in self._machines]
+        """Returns the settings in force, sources, move budgets and machines by heat."""
+        heats = [self.tracker.heat(id) for id in self._observed]
         return {
             "weight": self.settings.weight,
             "rebalance": self.settings.rebalance,
@@ -143,14 +146,16 @@
                 {
                     "name": source.name,
                     "zones": list(source.zones),
-                    "damped": self.sources.damped(source.name, now),
+                    "damped": self.sources.is_damped(source.name, now),
                 }
                 for source in self.sources.sources
             ],
             "machines": {heat.value: heats.count(heat) for heat in Heat},
-            "slow": sorted(id for id in self._machines if self.tracker.slowness(id) > 1.0),
+            "slow": sorted(
+                id for id in self._observed if self.tracker.slowness(id) > NORMAL_SLOWNESS
+            ),
             "moves_left": {
-                int(share): round(self.bounds.left(share, now), 2)
+                int(share): round(self.bounds.moves_left(share, now), 2)
                 for share in sorted(self.bounds.shares())
             },
         }
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -1,4 +1,4 @@
-"""Which running task gains most by a move, and the bounds that moves keep to."""
+"""Choice of the running task that gains most by a move, and the bounds of moves."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 from ..core.ids import COUNTER_BITS, Instant, ShareNo, TaskId, later
 from ..core.machine import Machine, Placement
+from ..core.placement import MIN_CPUS
 from ..core.policy import Candidate, MoveProposal
 from ..core.store import Bucket
 from ..core.work import fetch_s, grace
 from .costs import Costs
-from .load import Heat, LoadTracker, committed
+from .load import NORMAL_SLOWNESS, Heat, LoadTracker, committed_fraction
 from .settings import LocalitySettings
 
-RESTART_S = 2.0  # until a stopped task is known to be gone and runs elsewhere
-LEVEL_MARGIN = 0.1  # by which the target stays below the source after a move for load alone
-HOUR_S = 3600.0
-FORGET_AFTER = 2.0  # times the longest cooldown, after which a task's moves are forgotten
+RESTART_S = 2.0  # from the end of a stopped task until it is known and the task runs elsewhere
+# Fraction of CPUs by which the target must stay below the source after a move for load alone.
+BALANCE_MARGIN = 0.1
+SECONDS_PER_HOUR = 3600.0
+FORGET_AFTER_COOLDOWNS = 2.0  # longest cooldowns, after which the moves of a task are forgotten
+COOLDOWN_FACTOR = 2  # between the cooldowns after two successive moves of a task
 
 
 class _Cooldown(NamedTuple):
@@ -28,44 +31,44 @@
 
 
 class MoveBounds:
-    """Moves an hour of each share, and a cooldown of each task that doubles with each move.
+    """Limits the moves per hour of each share, and moves of one task by a doubling cooldown.
 
-    Neither rests on one process's memory: a share that is taken over begins with an empty budget,
-    and tasks that an earlier owner started with the longest cooldown.
+    Neither limit depends on the memory of one process: a share that is taken over begins with an
+    empty budget, and tasks that an earlier owner started begin with the longest cooldown.
     """
 
     def __init__(self, settings: LocalitySettings) -> None:
         self.settings = settings
         self._budgets: dict[ShareNo, Bucket] = {}
-        self._gained: dict[ShareNo, Instant] = {}
+        self._owned_since: dict[ShareNo, Instant] = {}
         self._cooldowns: dict[TaskId, _Cooldown] = {}
 
     def replace(self, settings: LocalitySettings) -> None:
-        """Other settings are in force; what was used up stays used up."""
+        """Applies other settings; moves that were used up stay used up."""
         self.settings = settings
         for budget in self._budgets.values():
-            budget.rate = settings.moves_per_hour / HOUR_S
+            budget.rate = settings.moves_per_hour / SECONDS_PER_HOUR
             budget.burst = float(settings.burst)
             budget.level = min(budget.level, budget.burst)
 
     def share_gained(self, share: ShareNo, now: Instant) -> None:
-        """A share is owned here from now on."""
-        budget = Bucket(self.settings.moves_per_hour / HOUR_S, float(self.settings.burst))
+        """Begins the share with an empty budget, as it is owned here from now on."""
+        budget = Bucket(self.settings.moves_per_hour / SECONDS_PER_HOUR, float(self.settings.burst))
         budget.level, budget.at = 0.0, now
         self._budgets[share] = budget
-        self._gained[share] = now
+        self._owned_since[share] = now
 
     def share_lost(self, share: ShareNo) -> None:
-        """A share is not owned here any more."""
+        """Forgets the share, as it is not owned here any more."""
         self._budgets.pop(share, None)
-        self._gained.pop(share, None)
+        self._owned_since.pop(share, None)
 
     def shares(self) -> list[ShareNo]:
-        """The shares that have a budget here."""
+        """Returns the shares that have a budget here."""
         return list(self._budgets)
 
     def moves_left(self, share: ShareNo, now: Instant) -> float:
-        """Moves that the share may make now."""
+        """Returns the number of moves that the share may make now."""
         budget = self._budgets.get(share)
         if budget is None:
             return 0.0
@@ -73,30 +76,32 @@
         return budget.level
 
     def may_move(self, placement: Placement, now: Instant) -> bool:
-        """Is the task past its cooldown?"""
+        """Returns whether the cooldown of the task is over."""
         cooldown = self._cooldowns.get(placement.task)
         if cooldown is not None:
             return now >= cooldown.until
         holding = placement.machine.share
         if placement.attempt >> COUNTER_BITS >= holding.epoch:
             return True
-        # Started by an earlier owner, who may have moved it as often as was allowed.
-        return now >= later(self._gained.get(holding.number, now), self.settings.cooldown_most)
+        # An earlier owner started it, and may have moved it as often as was allowed.
+        return now >= later(self._owned_since.get(holding.number, now), self.settings.cooldown_most)
 
     def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
-        """A move was begun."""
+        """Counts a move that was begun, and starts the next cooldown of the task."""
         budget = self._budgets.get(share)
         if budget is not None:
             budget.refill(now)
             budget.level -= 1.0
         moves = self._cooldowns[task].moves if task in self._cooldowns else 0
-        pause = min(self.settings.cooldown * 2**moves, self.settings.cooldown_most)
-        self._cooldowns[task] = _Cooldown(moves + 1, later(now, pause))
+        cooldown_s = min(
+            self.settings.cooldown * COOLDOWN_FACTOR**moves, self.settings.cooldown_most
+        )
+        self._cooldowns[task] = _Cooldown(moves + 1, later(now, cooldown_s))
 
-    def tidy(self, now: Instant) -> None:
-        """Forget tasks that were not moved for long."""
-        oldest = now - FORGET_AFTER * self.settings.cooldown_most
-        for task in [t for t, c in self._cooldowns.items() if c.until < oldest]:
+    def forget_old_moves(self, now: Instant) -> None:
+        """Forgets tasks that have not been moved for long."""
+        oldest = now - FORGET_AFTER_COOLDOWNS * self.settings.cooldown_most
+        for task in [t for t, cooldown in self._cooldowns.items() if cooldown.until < oldest]:
             del self._cooldowns[task]
 
 
@@ -109,66 +114,71 @@
         self.tracker = tracker
 
     def propose(self, candidates: Sequence[Candidate], now: Instant) -> MoveProposal | None:
-        """The best move of all, or None."""
+        """Returns the best of all moves; None if no move is worth its cost."""
         best: MoveProposal | None = None
         for candidate in candidates:
             for target in candidate.targets:
-                proposal = self._weigh(candidate.placement, target, now)
+                proposal = self._evaluate(candidate.placement, target, now)
                 if proposal is not None and (best is None or proposal.gain_s > best.gain_s):
                     best = proposal
         return best
 
-    def _weigh(self, placement: Placement, target: Machine, now: Instant) -> MoveProposal | None:
-        """The move, if its gain exceeds its cost by the factor set."""
+    def _evaluate(self, placement: Placement, target: Machine, now: Instant) -> MoveProposal | None:
+        """Returns the move if its gain exceeds its cost by the configured factor and margin."""
         job, source = placement.job, placement.machine
         assert job is not None and source.type is not None and target.type is not None
         heat = self.tracker.heat(target.id)
-        if heat is Heat.HOT or self.tracker.slowness(target.id) > 1.0:
+        if heat is Heat.HOT or self.tracker.slowness(target.id) > NORMAL_SLOWNESS:
             return None
         spec = job.spec
-        run_s = self.costs.run_s(spec)
-        left = self._left(placement, now)
-        there = committed(target) + placement.size.cpus / max(target.type.cpus, 1e-6)
-        transfer = self.costs.transfer_s(spec, source, now) - self.costs.transfer_s(
-            spec, target, now
+        run_time_s = self.costs.run_time_s(spec)
+        remaining = self._remaining_fraction(placement, now)
+        target_committed = committed_fraction(target) + placement.size.cpus / max(
+            target.type.cpus, MIN_CPUS
         )
-        relief = self.costs.slowdown(spec, source, committed(source)) - self.costs.slowdown(
-            spec, target, there
+        saved_transfer_s = self.costs.transfer_s(spec, source, now) - self.costs.transfer_s(
+            spec, target, now
         )
-        if transfer <= 0 and not self._levels(source, target, there):
+        saved_slowdown = self.costs.slowdown(
+            spec, source, committed_fraction(source)
+        ) - self.costs.slowdown(spec, target, target_committed)
+        if saved_transfer_s <= 0 and not self._balances_load(source, target, target_committed):
             return None
-        gain = left * (transfer + run_s * relief)
-        cost = grace(placement) + fetch_s(job, target) + RESTART_S
-        net = gain - cost
-        if gain < self.settings.gain_factor * cost or net < self.settings.least_gain:
+        gain_s = remaining * (saved_transfer_s + run_time_s * saved_slowdown)
+        cost_s = grace(placement) + fetch_s(job, target) + RESTART_S
+        net_s = gain_s - cost_s
+        if gain_s < self.settings.gain_factor * cost_s or net_s < self.settings.least_gain:
             return None
-        return MoveProposal(placement, target, net, self._reason(source, transfer))
+        return MoveProposal(placement, target, net_s, self._reason(source, saved_transfer_s))
 
-    def _left(self, placement: Placement, now: Instant) -> float:
-        """The part of the task's work that is still to be done, transfers and all."""
+    def _remaining_fraction(self, placement: Placement, now: Instant) -> float:
+        """Returns the fraction of the task's work, transfers included, that is still to be done."""
         job = placement.job
         assert job is not None
         if job.spec.service:
             return 1.0
-        machine, run_s = placement.machine, self.costs.run_s(job.spec)
-        slowdown = self.costs.slowdown(job.spec, machine, committed(machine))
-        total_s = run_s * (1.0 + slowdown) + self.costs.transfer_s(job.spec, machine, now)
+        machine, run_time_s = placement.machine, self.costs.run_time_s(job.spec)
+        slowdown = self.costs.slowdown(job.spec, machine, committed_fraction(machine))
+        total_s = run_time_s * (1.0 + slowdown) + self.costs.transfer_s(job.spec, machine, now)
         return max(0.0, 1.0 - (now - placement.ran_since) / total_s) if total_s > 0 else 0.0
 
-    def _levels(self, source: Machine, target: Machine, there: float) -> bool:
-        """Without nearer data a move must level loads, or two machines swap tasks for ever."""
-        if self.tracker.slowness(source.id) > 1.0:
+    def _balances_load(self, source: Machine, target: Machine, target_committed: float) -> bool:
+        """Returns whether a move without nearer data relieves a slow machine or evens out loads.
+
+        Otherwise two machines would exchange tasks for ever.
+        """
+        if self.tracker.slowness(source.id) > NORMAL_SLOWNESS:
             return True
         return (
             self.tracker.heat(source.id) is Heat.HOT
             and self.tracker.heat(target.id) is Heat.COOL
-            and there <= committed(source) - LEVEL_MARGIN
-            and there < self.settings.hot
+            and target_committed <= committed_fraction(source) - BALANCE_MARGIN
+            and target_committed < self.settings.hot
         )
 
-    def _reason(self, source: Machine, transfer: float) -> str:
-        if transfer > 0:
+    def _reason(self, source: Machine, saved_transfer_s: float) -> str:
+        if saved_transfer_s > 0:
             return "nearer its data"
-        if self.tracker.slowness(source.id) > 1.0:
+        if self.tracker.slowness(source.id) > NORMAL_SLOWNESS:
             return "its machine is slow"
         return "its machine is hot"
--- a/runcourse/locality/settings.py
+++ b/runcourse/locality/settings.py
@@ -1,4 +1,4 @@
-"""The locality file: data sources, weights and bounds, checked against the platform's settings."""
+"""The locality file: data sources, weights and bounds, checked against the platform settings."""
 
 from __future__ import annotations
 
@@ -15,62 +15,66 @@
 from ..errors import SettingsError
 from ..sexp_settings import Entry, read_entries, to_struct
 
-Name = Annotated[str, Meta(min_length=1, max_length=200)]
-Positive = Annotated[float, Meta(gt=0, le=1e9)]
-NonNegative = Annotated[float, Meta(ge=0, le=1e9)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+MAX_NAME_LENGTH = 200  # characters
+MAX_NUMBER = 1e9
+
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Positive = Annotated[float, Meta(gt=0, le=MAX_NUMBER)]
+NonNegative = Annotated[float, Meta(ge=0, le=MAX_NUMBER)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
 
 HEAD = "locality"
 SOURCE = "source"
-SOURCE_LISTS = ("zones", "teams", "classes")
+SOURCE_LISTS = ("zones", "teams", "classes")  # fields of a source that hold lists
+MIN_FIELD_ELEMENTS = 2  # a name and at least one value
 
 
 class Source(Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """A place of data, and who reads it: tasks of the teams or of the classes named."""
+    """A data source: its zones, and the teams and job classes whose tasks read it."""
 
     name: Name
     zones: Annotated[tuple[Name, ...], Meta(min_length=1)]
-    read_gb: NonNegative  # by one task
-    local_rate: Positive  # gigabytes a second within its zones
-    remote_rate: Positive  # and from any other zone
+    read_gb: NonNegative  # gigabytes that one task reads
+    local_rate: Positive  # gigabytes per second within its zones
+    remote_rate: Positive  # gigabytes per second from any other zone
     teams: tuple[Name, ...] = ()
     classes: tuple[Name, ...] = ()
 
 
 class LocalitySettings(Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """All that operators may set; a duration is in seconds."""
+    """The settings of operators; durations are in seconds."""
 
     sources: tuple[Source, ...] = ()
-    weight: NonNegative = 1.0  # of a second of transfer or slowdown, beside one of image fetch
-    load_slowdown: NonNegative = 0.1  # part of its run time that a task loses on a full machine
-    rebalance: bool = True  # move running work at all
+    weight: NonNegative = 1.0  # of a second of transfer or slowdown, relative to one of image fetch
+    load_slowdown: NonNegative = 0.1  # fraction of its run time that a task loses on a full machine
+    rebalance: bool = True  # move running tasks
     dry_run: bool = False  # plan and log moves, but carry out none
-    hot: Part = 0.9  # committed part of a machine from which on it counts as hot
-    cool: Part = 0.6  # and up to which it counts as cool
-    dwell: NonNegative = 30.0  # for which it must be beyond a threshold
+    hot: Fraction = 0.9  # committed fraction of a machine from which it is hot
+    cool: Fraction = 0.6  # committed fraction of a machine up to which it is cool
+    dwell: NonNegative = 30.0  # time beyond a threshold before the heat changes
     interval: Positive = 5.0  # between two plans of a share
-    sample: Count = 20  # machines that a plan looks at
-    moves_per_hour: NonNegative = 60.0  # of each share
-    burst: Count = 4  # moves that may be saved up
-    cooldown: Positive = 300.0  # of a task after a move; twice as long after each
-    cooldown_most: Positive = 4800.0
+    sample: Count = 20  # machines that a plan considers
+    moves_per_hour: NonNegative = 60.0  # limit of each share
+    burst: Count = 4  # moves that an unused budget accumulates at most
+    cooldown: Positive = 300.0  # of a task after its first move; doubles with each
+    cooldown_most: Positive = 4800.0  # longest cooldown
     gain_factor: Annotated[float, Meta(ge=1)] = 2.0  # by which the gain must exceed the cost
-    least_gain: NonNegative = 10.0
-    replica_horizon: Positive = 600.0  # run time that a replica's gain is reckoned over
-    flap_changes: Count = 3  # changes of a source's place within `flap-window`
-    flap_window: Positive = 900.0
-    flap_hold: Positive = 900.0  # for which such a source counts as lying nowhere
+    least_gain: NonNegative = 10.0  # seconds, after the cost
+    replica_horizon: Positive = 600.0  # run time over which a replica's gain is counted
+    flap_changes: Count = 3  # changes of a source's zones within `flap-window`
+    flap_window: Positive = 900.0  # in which changes of zones are counted
+    flap_hold: Positive = 900.0  # for which a source that changed too often is ignored
 
 
 def load_locality(path: Path, platform: Platform) -> LocalitySettings:
-    """Read and check the file."""
+    """Reads and checks the file; raises SettingsError if it is faulty."""
     entries = read_entries(path, HEAD)
     sources = [
-        _source(path, entry, number)
+        _parse_source(path, entry, number)
         for number, entry in enumerate(e for e in entries if str(e[0]) == SOURCE)
     ]
-    others = [_plain(entry) for entry in entries if str(entry[0]) != SOURCE]
+    others = [_convert_booleans(entry) for entry in entries if str(entry[0]) != SOURCE]
     if any(str(entry[0]) == "sources" for entry in others):
         raise SettingsError(f"{path}: sources: unknown setting")
     settings = to_struct(path, others, LocalitySettings)
@@ -82,19 +86,21 @@
     return msgspec.structs.replace(settings, sources=tuple(sources))
 
 
-def _plain(entry: Entry) -> Entry:
-    """Booleans are the symbols true and false, which sexpdata leaves as symbols."""
+def _convert_booleans(entry: Entry) -> Entry:
+    """Converts the symbols true and false to booleans, which sexpdata does not."""
     values = {"true": True, "false": False}
     return [
-        values.get(str(part), part) if isinstance(part, sexpdata.Symbol) and n else part
-        for n, part in enumerate(entry)
+        values.get(str(element), element)
+        if isinstance(element, sexpdata.Symbol) and position
+        else element
+        for position, element in enumerate(entry)
     ]
 
 
-def _source(path: Path, entry: Entry, number: int) -> Source:
+def _parse_source(path: Path, entry: Entry, number: int) -> Source:
     place = f"{SOURCE}[{number}]"
     for field in entry[1:]:
-        if not isinstance(field, list) or len(field) < 2:
+        if not isinstance(field, list) or len(field) < MIN_FIELD_ELEMENTS:
             raise SettingsError(f"{path}: {place}: expected (name value ...)")
     return to_struct(path, entry[1:], Source, place, SOURCE_LISTS)
 
