--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -13,7 +13,7 @@
 
 from ..wire.peer_messages import GrantRequest, GrantResponse
 from .context import CLOCK_DRIFT, Context
-from .ids import ABSENT, ALWAYS, LONG_AGO, Incarnation, Instant, JobId, Member, Stamp, later
+from .ids import ABSENT, FAR_FUTURE, LONG_AGO, Incarnation, Instant, JobId, Member, Stamp, later
 from .jobs import Jobs
 from .store import CommitResult, Store
 from .stored_values import LIVE, LiveValue
@@ -81,7 +81,7 @@
             return self.until
         needed = self.context.majority - 1
         if not needed:
-            return ALWAYS
+            return FAR_FUTURE
         if len(self._grants_held) < needed:
             return self.until
         votes = sorted(self._grants_held.values(), reverse=True)
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -5,7 +5,7 @@
 import heapq
 
 from .context import Context
-from .ids import ALWAYS, Instant, JobId, Stamp, later
+from .ids import FAR_FUTURE, Instant, JobId, Stamp, later
 from .jobs import DONE, JOB, PAGE_BITS, PART, PART_BITS, Job, PageValue, final_value
 from .shares import Shares
 from .sizes import json_size
@@ -59,7 +59,7 @@
         return max(FLUSH_GAP_S, len(self._unstored) / (FLUSH_PART * self.store.affordable(1.0)))
 
     def _look_at(self, uid: JobId, at: Instant) -> None:
-        if at < self._due_at.get(uid, ALWAYS):
+        if at < self._due_at.get(uid, FAR_FUTURE):
             self._due_at[uid] = at
             heapq.heappush(self._due, (at, uid))
 
--- a/runcourse/core/ids.py
+++ b/runcourse/core/ids.py
@@ -24,7 +24,7 @@
 NO_TOKEN = Token(0)
 START = Instant(0.0)
 LONG_AGO = Instant(-1e9)
-ALWAYS = Instant(1e18)
+FAR_FUTURE = Instant(1e18)
 
 
 class TaskId(NamedTuple):
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -15,7 +15,7 @@
 from .finishes import Finishes
 from .gang_placement import GangPlacement
 from .gangs import INCOMPLETE, Gangs
-from .ids import ALWAYS, Instant, JobId, ShareNo, Team
+from .ids import FAR_FUTURE, Instant, JobId, ShareNo, Team
 from .image_supply import ImageSupply
 from .jobs import Job, Jobs
 from .machine import Machine, Placement
@@ -70,7 +70,7 @@
         self.order = Order(context, quota)
         self._dirty = True
         self._next_turn = Instant(0.0)
-        self._due_at = ALWAYS  # when what backs off is to be looked at again
+        self._due_at = FAR_FUTURE  # when what backs off is to be looked at again
         self.finishes = Finishes(context, store, shares)
         self.budget = Budget(context)
         self.policy = policy
@@ -271,7 +271,7 @@
         if not (due or now >= self._due_at) or now < self._next_turn:
             return
         self._dirty = False
-        self._due_at = ALWAYS
+        self._due_at = FAR_FUTURE
         self._queued = 0
         self.budget.begin()
         self.preemption.begin()
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from .context import Context
-from .ids import ABSENT, ALWAYS, LONG_AGO, Instant, Stamp, later
+from .ids import ABSENT, FAR_FUTURE, LONG_AGO, Instant, Stamp, later
 from .sizes import json_size
 from .stored_values import parse
 from .types import LATE, Commit, Condition, Follow, Outcome, ReadAll, Write
@@ -185,9 +185,9 @@
 
     def _give_up(self) -> None:
         """Without contact for long: whoever waits for a change is told so at once."""
-        waiting = [entry for entry in self._queue if entry[2].until < ALWAYS]
+        waiting = [entry for entry in self._queue if entry[2].until < FAR_FUTURE]
         if waiting:
-            self._queue = [entry for entry in self._queue if entry[2].until >= ALWAYS]
+            self._queue = [entry for entry in self._queue if entry[2].until >= FAR_FUTURE]
             heapq.heapify(self._queue)
             for urgency, _, commit in waiting:
                 self._drop(urgency, commit)
@@ -275,7 +275,7 @@
         then: list[Write],
         result: Result,
         urgency: int = OWNER,
-        until: Instant = ALWAYS,
+        until: Instant = FAR_FUTURE,
     ) -> None:
         """Queue a change; `until`: when whoever asked for it has given it up."""
         self._push(_Change(when, then, result, urgency, until))
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -8,7 +8,7 @@
 
 from ..wire.peer_messages import PeerMessage
 from .ids import (
-    ALWAYS,
+    FAR_FUTURE,
     NO_TOKEN,
     Instant,
     MachineId,
@@ -157,7 +157,7 @@
     status: int
     body: dict[str, Any]
     retry_after: float | None = None
-    until: Instant = ALWAYS
+    until: Instant = FAR_FUTURE
 
 
 class DivisionAnswer(msgspec.Struct):
@@ -179,7 +179,7 @@
     token: Token = NO_TOKEN
     orders: tuple[Order, ...] = ()
     owner: Member | None = None
-    until: Instant = ALWAYS
+    until: Instant = FAR_FUTURE
 
 
 class ReadAll(msgspec.Struct):
@@ -216,7 +216,7 @@
     tag: Any
     when: list[Condition]
     then: list[Write]
-    until: Instant = ALWAYS
+    until: Instant = FAR_FUTURE
 
 
 class GrantLease(msgspec.Struct):
@@ -241,7 +241,7 @@
     token: Token
     session: Session
     orders: tuple[Order, ...]
-    until: Instant = ALWAYS
+    until: Instant = FAR_FUTURE
 
 
 class Probe(msgspec.Struct):
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ..core import types as t
-from ..core.ids import ALWAYS
+from ..core.ids import FAR_FUTURE
 from ..core.leader.inventory import LIST_PAGE
 from ..wire import cloud_messages, codec, state_messages
 from ..wire import messages as wire
@@ -44,7 +44,7 @@
         timeout_s: float,
         read: Callable[[bytes], Any],
         also: tuple[int, ...] = (),
-        until: float = ALWAYS,
+        until: float = FAR_FUTURE,
     ) -> Result:
         """(status, what `read` makes of a good answer, whether it may have been sent)"""
         data = codec.encode(body) if body is not None else None
