--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -88,7 +88,7 @@
         )
         self.shares = Shares(context, self.store, self.authority, self._on_gain, self._on_loss)
         self.entitlements = entitlements or NoEntitlements()
-        self.shares.deal = self.entitlements.initial_team_order
+        self.shares.team_order = self.entitlements.initial_team_order
         self.quota = Quota(context)
         self.policy = policy or NoPolicy()
         self.scheduler = Scheduler(
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -80,7 +80,7 @@
         self._dealt: dict[Team, ShareNo] = {}
         self._gone_since: dict[ShareNo, Instant] = {}
         self._home_since: dict[Member, tuple[Incarnation, Instant]] = {}
-        self.deal: Callable[[int], list[str]] = lambda shares: []  # set by the node
+        self.team_order: Callable[[int], list[str]] = lambda shares: []  # set by the node
         self.all_heard: Callable[[ShareNo], bool] = lambda share: True  # set by the node
         store.listen(SHARE, self._changed)
         store.listen(MAPPING, self._mapping_changed)
@@ -115,7 +115,7 @@
             return [self.store.expect(MAPPING)], []
         if any(self.owner(share) is not None for share in self.all()):
             return [Condition(MAPPING, ABSENT)], []
-        names = self.deal(len(self.context.members)) or sorted(
+        names = self.team_order(len(self.context.members)) or sorted(
             team.name for team in self.context.platform.settings.teams
         )
         if json_size(MappingValue(names)) > self.context.limits.value_bytes:
