--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -337,7 +337,7 @@
         """False only where millions of tasks would start before anything is stored."""
         pending = sum(len(work.pending) for work in waiting)
         most = MOST_LISTED * len(self.fleet.of_share(holding.number))
-        return holding.has_attempts(min(pending, most), self.store.applied)
+        return holding.has_attempt_numbers(min(pending, most), self.store.applied)
 
     def _begin(
         self,
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -52,7 +52,7 @@
         self._attempts += 1
         return make_attempt(self.epoch, self._attempts)
 
-    def has_attempts(self, count: int, applied: Stamp) -> bool:
+    def has_attempt_numbers(self, count: int, applied: Stamp) -> bool:
         """Are there attempt numbers for so many starts? Beyond the counter's bits they are
         carried into the epoch, and must not reach a revision that a later owner may get."""
         return highest_epoch(self.epoch, self._attempts + count) <= applied
