--- a/runcourse/core/leader/catalogue.py
+++ b/runcourse/core/leader/catalogue.py
@@ -63,7 +63,7 @@
                 [self.leadership.guard()],
                 changes[start : start + size],
                 lambda result, stamp: None,
-                Store.LATER,
+                Store.BACKGROUND,
             )
 
     def pages(self, rows: list[CatalogRow]) -> dict[str, list[CatalogRow]]:
--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -197,7 +197,7 @@
         # elsewhere. The others are queued behind users' changes; otherwise the leader would
         # refuse users' requests while a fleet is returned.
         for start in range(0, len(ids), size):
-            self._drop_batch(ids[start : start + size], Store.LATER if start else Store.OWNER)
+            self._drop_batch(ids[start : start + size], Store.BACKGROUND if start else Store.OWNER)
         self._forget_gone(len(ids))
 
     def _forget_gone(self, added: int) -> None:
@@ -215,7 +215,7 @@
                 [self.guard()],
                 [Write(MACHINE + id, None) for id in oldest[start : start + size]],
                 lambda result, stamp: None,
-                Store.LATER,
+                Store.BACKGROUND,
             )
 
     def _drop_batch(self, ids: list[MachineId], urgency: int) -> None:
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -94,7 +94,7 @@
 class Store:
     """The copy, its reads and the queue of changes."""
 
-    URGENT, OWNER, USER, LATER = range(4)
+    URGENT, OWNER, USER, BACKGROUND = range(4)
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -119,7 +119,7 @@
         self._writes = Bucket(self._share, max(self._share, 4.0))
         self._paused_until = LONG_AGO
         self._raised_at = LONG_AGO
-        self._queued = [0] * (self.LATER + 1)  # changes in the queue, by urgency
+        self._queued = [0] * (self.BACKGROUND + 1)  # changes in the queue, by urgency
 
     # --- copy ----------------------------------------------------------------------------
 
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -79,7 +79,7 @@
             [guard, self.store.expect(FORMAT), *when],
             [Write(FORMAT, FormatValue(level))],
             done,
-            Store.LATER,
+            Store.BACKGROUND,
         )
 
     def _level(self, divided: bool) -> int:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -222,7 +222,7 @@
     assert set(release.machines) == set(ids)
     release.tag(t.Outcome(release.tag, 200, None, began=node.context.now))
     size = node.context.limits.txn_ops
-    assert store._queued[store.OWNER] == size and store._queued[store.LATER] == 50 - size
+    assert store._queued[store.OWNER] == size and store._queued[store.BACKGROUND] == 50 - size
     node.context.effects.clear()
     inventory.release_leaving()
     assert not [e for e in node.context.effects if isinstance(e, t.Release)], "not once more"
