--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -26,7 +26,7 @@
 GIVE_UP_AFTER_S = 1.0  # without contact: who waits for a change is refused
 THROTTLED_S = 0.1  # after a 429
 THROTTLED_RATE = 0.7  # of the rate of changes, after a 429
-TRIES = 4  # of a change that the state service has no time for
+MAX_TRIES = 4  # of a change that the state service has no time for
 
 Listener = Callable[[str, Any, Stamp], None]
 Waiter = Callable[[bool], None]
@@ -324,7 +324,7 @@
             self._paused_until = later(self.context.now, THROTTLED_S)
             self._writes.rate = max(self._share, THROTTLED_RATE * self._writes.rate)
             # Surely not executed: waiting a moment costs less than a user's retry.
-            if change.tries < TRIES:
+            if change.tries < MAX_TRIES:
                 self._push(change)
                 return
         change.result(CommitResult.REFUSED, ABSENT)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,7 +7,7 @@
 
 from runcourse.core import types as t
 from runcourse.core.ids import Instant
-from runcourse.core.store import TRIES, CommitResult, Store
+from runcourse.core.store import MAX_TRIES, CommitResult, Store
 from runcourse.core.stored_values import ROOT
 from runcourse.core.types import Write
 
@@ -45,7 +45,7 @@
     store = store_with()
     results: list[str] = []
     store.commit([], [Write("k", 1)], lambda r, s: results.append(r))
-    for _ in range(TRIES - 1):
+    for _ in range(MAX_TRIES - 1):
         answer(store, 429)
         assert not results and not store.context.effects, "the service asked for a pause"
         later(store, 0.15)
@@ -54,7 +54,7 @@
     answer(store, 200, 7)
     assert results == [CommitResult.OK] and store.get("k") == 1 and store.stamp("k") == 7
     store.commit([], [Write("k", 2)], lambda r, s: results.append(r))
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         later(store, 0.15)
         store.context.effects = [e for e in store.context.effects if isinstance(e, t.Commit)]
         answer(store, 429)
