--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -115,8 +115,8 @@
         self._order = itertools.count()
         nodes = len(context.members)
         self._gap = nodes / (0.4 * context.limits.rps)
-        self._share = 0.95 * context.limits.write_rps / nodes
-        self._writes = Bucket(self._share, max(self._share, 4.0))
+        self._fair_write_rate = 0.95 * context.limits.write_rps / nodes
+        self._writes = Bucket(self._fair_write_rate, max(self._fair_write_rate, 4.0))
         self._paused_until = LONG_AGO
         self._raised_at = LONG_AGO
         self._queued = [0] * (self.BACKGROUND + 1)  # changes in the queue, by urgency
@@ -322,7 +322,7 @@
         self.note_contact(False, status, began)
         if status == 429:
             self._paused_until = later(self.context.now, THROTTLED_S)
-            self._writes.rate = max(self._share, THROTTLED_RATE * self._writes.rate)
+            self._writes.rate = max(self._fair_write_rate, THROTTLED_RATE * self._writes.rate)
             # Surely not executed: waiting a moment costs less than a user's retry.
             if change.tries < MAX_TRIES:
                 self._push(change)
@@ -356,7 +356,7 @@
                     # The other nodes seldom use all of their parts: ask for more, until the
                     # state service says that it is too much.
                     most = 0.9 * self.context.limits.write_rps
-                    step = 0.5 * self._share * min(now - self._raised_at, 0.2)
+                    step = 0.5 * self._fair_write_rate * min(now - self._raised_at, 0.2)
                     self._writes.rate = min(most, self._writes.rate + step)
                     self._raised_at = now
                     return
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -28,7 +28,7 @@
 def test_everything_is_planned_for_the_smaller_limits_from_the_start() -> None:
     node = planning(write_rps=56.0, value_kb=2.0, txn_ops=8)
     assert node.context.limits == (200.0, 56.0, 2048, 8)
-    assert node.store._share == pytest.approx(0.95 * 56.0 / 3)
+    assert node.store._fair_write_rate == pytest.approx(0.95 * 56.0 / 3)
     assert planning().context.limits == (200.0, 80.0, 16384, 24)
     assert planning(value_kb=64.0, txn_ops=99).context.limits == (200.0, 80.0, 16384, 24)
 
