--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -143,7 +143,7 @@
         """The value of the key, or None."""
         return self.values.get(key)
 
-    def _change(self, key: str, value: Any, stamp: Stamp) -> None:
+    def _apply(self, key: str, value: Any, stamp: Stamp) -> None:
         # Own changes are applied when they are answered, so a read may bring them again,
         # and an older state of the key with them: the stamp of the key decides.
         if stamp <= self.stamps.get(key, ABSENT):
@@ -226,10 +226,10 @@
             if not self.ready:
                 present = {key for key, _, _ in changes}
                 for key in [k for k in self.values if k not in present]:
-                    self._change(key, None, Stamp(epoch))
+                    self._apply(key, None, Stamp(epoch))
                 self.ready = True
             for key, value, stamp in changes:
-                self._change(key, value, Stamp(stamp))
+                self._apply(key, value, Stamp(stamp))
             self.applied = Stamp(max(self.applied, epoch))
             # From here on no read brings back what was dropped before it.
             while self._dropped and self._dropped[0][0] <= self.applied:
@@ -315,7 +315,7 @@
         self.note_contact(True, 200, began)
         if stamp > self.applied:  # else a read brought it, and perhaps what came after
             for write in change.then:
-                self._change(write.key, write.value, stamp)
+                self._apply(write.key, write.value, stamp)
         change.result(CommitResult.OK, stamp)
 
     def _not_executed(self, change: _Change, status: int, began: Instant) -> None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -259,7 +259,7 @@
     node = node_of(world, owner)
     share = node.scheduler.work[JobId(UID)].share
     assert node.shares.may_command(share)
-    node.store._change(
+    node.store._apply(
         node.shares.key(share),
         {"owner": owner, "inc": node.authority.incarnation},
         Stamp(node.store.applied + 2),
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -75,10 +75,10 @@
     # Read anew, they say the same.
     fresh = planning()
     fresh.store.ready = True
-    fresh.store._change("rc/job/j-000001", job_value(work.job.spec, "accepted"), Stamp(5))
+    fresh.store._apply("rc/job/j-000001", job_value(work.job.spec, "accepted"), Stamp(5))
     for commit in commits:
         for key, value, _ in commit.then:
-            fresh.store._change(key, value, Stamp(9))
+            fresh.store._apply(key, value, Stamp(9))
     job = fresh.jobs.get(JobId("j-000001"))
     assert job is not None and job.done_bits == every >> 1
 
@@ -153,5 +153,5 @@
     pages = node.rental.catalogue.pages(rows)
     assert max(map(json_size, pages.values())) <= LEAST
     for key, page in sorted(pages.items()):
-        node.store._change(key, page, Stamp(50))
+        node.store._apply(key, page, Stamp(50))
     assert len(node.fleet.types) == 60
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -185,7 +185,7 @@
     batch = next(e for e in node.context.effects if isinstance(e, t.Commit))
     assert len(batch.then) == 3
     other = MachineValue(ShareNo(1), "m4", "a", False, False)
-    node.store._change(MACHINE + found[0].id, other, Stamp(node.store.applied + 1))
+    node.store._apply(MACHINE + found[0].id, other, Stamp(node.store.applied + 1))
     node.context.effects.clear()
     batch.tag(t.Outcome(batch.tag, 409, None, began=node.context.now))
     node.store._flush()
@@ -234,7 +234,7 @@
     inventory.largest_fleet = 0
     for n in range(1000 + 500):
         key = f"{MACHINE}i-{500_000 + n}"
-        node.store._change(key, GoneMachine(), Stamp(10_000 + n))
+        node.store._apply(key, GoneMachine(), Stamp(10_000 + n))
     before = sum(node.store._queued) + len(node.context.effects)
     inventory._forget_gone(100)
     forgotten = [
