--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -116,7 +116,7 @@
         nodes = len(context.members)
         self._gap = nodes / (0.4 * context.limits.rps)
         self._fair_write_rate = 0.95 * context.limits.write_rps / nodes
-        self._writes = Bucket(self._fair_write_rate, max(self._fair_write_rate, 4.0))
+        self._write_budget = Bucket(self._fair_write_rate, max(self._fair_write_rate, 4.0))
         self._paused_until = LONG_AGO
         self._raised_at = LONG_AGO
         self._queued = [0] * (self.BACKGROUND + 1)  # changes in the queue, by urgency
@@ -263,11 +263,11 @@
     @property
     def backlog(self) -> float:
         """Seconds that a user's change asked for now would wait at the least."""
-        return sum(self._queued[: self.USER + 1]) / self._writes.rate
+        return sum(self._queued[: self.USER + 1]) / self._write_budget.rate
 
     def affordable(self, seconds: float) -> int:
         """How many changes the write budget of so many seconds pays for."""
-        return max(1, int(seconds * self._writes.rate))
+        return max(1, int(seconds * self._write_budget.rate))
 
     def commit(
         self,
@@ -322,7 +322,9 @@
         self.note_contact(False, status, began)
         if status == 429:
             self._paused_until = later(self.context.now, THROTTLED_S)
-            self._writes.rate = max(self._fair_write_rate, THROTTLED_RATE * self._writes.rate)
+            self._write_budget.rate = max(
+                self._fair_write_rate, THROTTLED_RATE * self._write_budget.rate
+            )
             # Surely not executed: waiting a moment costs less than a user's retry.
             if change.tries < MAX_TRIES:
                 self._push(change)
@@ -352,17 +354,17 @@
                 # node's pace, and all nodes would come at once with what gathered.
                 if now < self._paused_until or self.failing:
                     return
-                if self._writes.wait(now, len(commit.then)) > 0:
+                if self._write_budget.wait(now, len(commit.then)) > 0:
                     # The other nodes seldom use all of their parts: ask for more, until the
                     # state service says that it is too much.
                     most = 0.9 * self.context.limits.write_rps
                     step = 0.5 * self._fair_write_rate * min(now - self._raised_at, 0.2)
-                    self._writes.rate = min(most, self._writes.rate + step)
+                    self._write_budget.rate = min(most, self._write_budget.rate + step)
                     self._raised_at = now
                     return
             else:
-                self._writes.refill(now)
-                self._writes.level -= len(commit.then)
+                self._write_budget.refill(now)
+                self._write_budget.level -= len(commit.then)
             heapq.heappop(self._queue)
             self._queued[urgency] -= len(commit.then)
             self.context.emit(commit)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -168,7 +168,7 @@
     found = [
         FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(4000)
     ]
-    node.store._writes.rate, node.store._writes.level = 0.1, 0.0
+    node.store._write_budget.rate, node.store._write_budget.level = 0.1, 0.0
     adoption.adopt(found[:1])
     assert queued[node.store.OWNER] == 1, "a few go first, as work waits for them"
     adoption.adopt(found)
@@ -180,7 +180,7 @@
     node = leader(ready(machines=1))
     found = [FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(3)]
     node.context.effects.clear()
-    node.store._writes.level = 1e9
+    node.store._write_budget.level = 1e9
     node.rental.adoption.adopt(found)
     batch = next(e for e in node.context.effects if isinstance(e, t.Commit))
     assert len(batch.then) == 3
@@ -198,7 +198,7 @@
     world = ready(machines=60)
     node = owner_of_some(world)[0]
     machines = list(node.fleet.machines.values())
-    writes = node.store._writes
+    writes = node.store._write_budget
     writes.rate, writes.level, writes.at = 8.0, 0.0, node.context.now
     for machine in machines:
         node.rental.transfers.handle(ReturnMachine(machine.id))
@@ -216,7 +216,11 @@
     for id in ids:
         node.fleet.leaving[id] = None
     node.context.effects.clear()
-    store._writes.rate, store._writes.level, store._writes.at = 8.0, 0.0, node.context.now
+    store._write_budget.rate, store._write_budget.level, store._write_budget.at = (
+        8.0,
+        0.0,
+        node.context.now,
+    )
     inventory.release_leaving()
     (release,) = [e for e in node.context.effects if isinstance(e, t.Release)]
     assert set(release.machines) == set(ids)
@@ -276,7 +280,7 @@
     """Each of hundreds of arrays stored a change a second: more than the state service takes."""
     node, machine = owner_of_some(ready())
     finishes, now = node.scheduler.finishes, node.context.now
-    node.store._writes.rate = 20.0
+    node.store._write_budget.rate = 20.0
     assert finishes._gap_s() == FLUSH_GAP_S
     for n in range(100):
         job = Job(spec(f"j-1{n:05d}", tasks=5), Stamp(machine.share.epoch + 1))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -132,7 +132,7 @@
     """Tries in an outage raised each node's pace: all came at once when it ended."""
     store = store_with()
     results: dict[str, str] = {}
-    pace = store._writes.rate
+    pace = store._write_budget.rate
     store.failing = True
     store.commit([], [Write("own", 1)], lambda r, s: results.update(own=r))
     store.commit(
@@ -148,7 +148,7 @@
         for effect in list(store.context.effects):
             assert isinstance(effect, t.Follow)
             answer(store, 503)
-    assert results == {"user": CommitResult.REFUSED} and store._writes.rate == pace
+    assert results == {"user": CommitResult.REFUSED} and store._write_budget.rate == pace
     later(store, 0.3)
     answer(store, 200, ([], 1))
     later(store, 0.05)
