--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -56,7 +56,7 @@
     def _gap_s(self) -> float:
         """Many jobs at once store their finishes less often, or nothing else could be stored. What
         waits holds no room, and the workers still list it."""
-        return max(FLUSH_GAP_S, len(self._unstored) / (FLUSH_PART * self.store.affordable(1.0)))
+        return max(FLUSH_GAP_S, len(self._unstored) / (FLUSH_PART * self.store.max_changes(1.0)))
 
     def _look_at(self, uid: JobId, at: Instant) -> None:
         if at < self._due_at.get(uid, FAR_FUTURE):
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -104,7 +104,7 @@
         machine = self.fleet.machines.get(id)
         if machine is None or not self._may_leave(machine):
             return None
-        if self._open_changes >= self.store.affordable(MAX_CHANGE_BACKLOG_S):
+        if self._open_changes >= self.store.max_changes(MAX_CHANGE_BACKLOG_S):
             return None
         return machine
 
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -265,7 +265,7 @@
         """Seconds that a user's change asked for now would wait at the least."""
         return sum(self._queued[: self.USER + 1]) / self._write_budget.rate
 
-    def affordable(self, seconds: float) -> int:
+    def max_changes(self, seconds: float) -> int:
         """How many changes the write budget of so many seconds pays for."""
         return max(1, int(seconds * self._write_budget.rate))
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -203,7 +203,7 @@
     for machine in machines:
         node.rental.transfers.handle(ReturnMachine(machine.id))
     moving = [m for m in machines if m.moving]
-    assert 1 <= len(moving) == node.store.affordable(MAX_CHANGE_BACKLOG_S) < len(machines)
+    assert 1 <= len(moving) == node.store.max_changes(MAX_CHANGE_BACKLOG_S) < len(machines)
     assert 0.0 < node.store.backlog <= FAIR_BACKLOG_S, "no submission is refused for it"
 
 
