--- a/runcourse/core/leader/catalogue.py
+++ b/runcourse/core/leader/catalogue.py
@@ -73,7 +73,7 @@
         limit allows until all nodes read the further ones.
         """
         max_bytes = self.context.limits.value_bytes
-        if not self.versions.all_read:
+        if not self.versions.all_read_parts:
             max_bytes = int(BYTES_PER_KB * self.context.platform.settings.state.value_kb)
         pages: list[list[CatalogRow]] = [[]]
         for row in rows:
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -125,7 +125,7 @@
         return (
             self.context.now < self.authority.until
             and not self.store.failing
-            and self.versions.all_read
+            and self.versions.all_read_parts
         )
 
     def _abort_reason(self, task: TaskId, move: Migration) -> str:
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -72,7 +72,7 @@
         "leader": node.rental.leadership.leader(),
         "leading": node.rental.leadership.leading,
         "versions": node.versions.seen(),
-        "all_read": node.versions.all_read,
+        "all_read": node.versions.all_read_parts,
         "shares": shares,
         "machines": machines,
         "waiting": waiting,
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -35,7 +35,7 @@
         if value is None:
             return
         member, version = Member(key[len(LIVE) :]), value.version
-        if version < PARTS_OF_FINISHES and self.all_read:
+        if version < PARTS_OF_FINISHES and self.all_read_parts:
             self.context.log(
                 "warning",
                 f"{member} came back with a former version: it starts anew what"
@@ -44,7 +44,7 @@
         self._seen[member] = version
 
     @property
-    def all_read(self) -> bool:
+    def all_read_parts(self) -> bool:
         """Has it been noted that every member reads stored values in parts?"""
         return self.store.get(FORMAT) is not None
 
