--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -165,7 +165,7 @@
                 f"version: expected {request.expect}, but version {current.version}"
                 f" is in force{_describe_change(current)}"
             )
-        if not self.versions.divisions_read:
+        if not self.versions.all_read_divisions:
             former = [
                 member
                 for member, version in self.versions.seen().items()
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -49,7 +49,7 @@
         return self.store.get(FORMAT) is not None
 
     @property
-    def divisions_read(self) -> bool:
+    def all_read_divisions(self) -> bool:
         """Has it been noted that every member reads stored divisions?"""
         noted = self.store.get(FORMAT)
         return noted is not None and noted.version >= DIVISIONS
