--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -16,7 +16,7 @@
 from ..shares import Shares
 from ..store import Store
 from ..types import MachineType, SendToPeer
-from ..versions import LOADS_IN_PAGES, Versions
+from ..versions import PAGED_LOADS_VERSION, Versions
 from .adoption import Adoption
 from .boot_times import BootTimes
 from .catalogue import Catalogue
@@ -154,7 +154,7 @@
             s: self._pages.get(s) or LoadPages(self.fleet, s) for s in self.shares.owned
         }
         # A leader of a former version needs all machines in one message.
-        whole = leader is not None and not self.versions.reads(Member(leader), LOADS_IN_PAGES)
+        whole = leader is not None and not self.versions.reads(Member(leader), PAGED_LOADS_VERSION)
         for share, pages in pages_by_share.items():
             machines = pages.all() if whole else pages.next()
             message = share_load(
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -15,8 +15,8 @@
 from .stored_values import FORMAT, FORMER, LIVE, FormatValue
 from .types import Condition, Write
 
-PARTS_OF_FINISHES = 2  # pages of finished tasks and catalogues that go on in further values
-LOADS_IN_PAGES = 3  # load reports and running counts that tell of a part at a time
+FINISHED_PARTS_VERSION = 2  # pages of finished tasks and catalogues that go on in further values
+PAGED_LOADS_VERSION = 3  # load reports and running counts that tell of a part at a time
 DIVISIONS = 4  # the stored division, and requests to owners that name it
 VERSION = DIVISIONS
 
@@ -35,7 +35,7 @@
         if value is None:
             return
         member, version = Member(key[len(LIVE) :]), value.version
-        if version < PARTS_OF_FINISHES and self.all_read_parts:
+        if version < FINISHED_PARTS_VERSION and self.all_read_parts:
             self.context.log(
                 "warning",
                 f"{member} came back with a former version: it starts anew what"
@@ -84,6 +84,6 @@
 
     def _level(self, divided: bool) -> int:
         """The newest format of stored values that is wanted and that every member reads."""
-        wanted = (PARTS_OF_FINISHES, DIVISIONS) if divided else (PARTS_OF_FINISHES,)
+        wanted = (FINISHED_PARTS_VERSION, DIVISIONS) if divided else (FINISHED_PARTS_VERSION,)
         read = [v for v in wanted if all(self.reads(m, v) for m in self.context.members)]
         return max(read, default=FORMER)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -35,7 +35,7 @@
 from runcourse.core.shares import Holding
 from runcourse.core.stored_values import MACHINE, GoneMachine, MachineValue
 from runcourse.core.users import FAIR_BACKLOG_S
-from runcourse.core.versions import LOADS_IN_PAGES
+from runcourse.core.versions import PAGED_LOADS_VERSION
 from runcourse.net.http import TURNED_AWAY_PER_ROTATION, Client, Server
 from runcourse.wire.peer_messages import (
     Heartbeat,
@@ -151,7 +151,7 @@
     node.context.effects.clear()
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 1)
-        assert not node.versions.reads(Member(old), LOADS_IN_PAGES)
+        assert not node.versions.reads(Member(old), PAGED_LOADS_VERSION)
         node.rental._report_loads()
     sent = [e.message for e in node.context.effects if isinstance(e, t.SendToPeer)]
     (load,) = [m for m in sent if isinstance(m, ShareLoad)]
