--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -20,7 +20,7 @@
 from .store import CommitResult, Store
 from .stored_values import DIVISION, MAPPING, Division, DivisionValue, OrganisationLimits
 from .types import DivisionAnswer, DivisionRequest, Write
-from .versions import DIVISIONS, Versions
+from .versions import DIVISIONS_VERSION, Versions
 
 MAX_PAST_DIVISIONS = 5  # former divisions kept in the stored value, for a rollback
 MIN_PAST_DIVISIONS = 1  # with fewer, the change is refused as too large
@@ -169,7 +169,7 @@
             former = [
                 member
                 for member, version in self.versions.seen().items()
-                if version is None or version < DIVISIONS
+                if version is None or version < DIVISIONS_VERSION
             ]
             return f"versions: not every controller is known to read divisions: {former}"
         return self.policy.validate_division(proposed.limits, self.capacity())
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -13,7 +13,7 @@
 from ..machines import Fleet
 from ..placement import count_fitting
 from ..shares import Shares
-from ..versions import DIVISIONS, Versions
+from ..versions import DIVISIONS_VERSION, Versions
 from .demand import LOAD_VALID_S, Demand, LoadReport, accepts
 from .fleet_view import IdleMachines
 from .pool import Pool
@@ -212,7 +212,7 @@
         owner = self.shares.living_owner(giver)
         return (
             owner is not None
-            and self.versions.reads(owner, DIVISIONS)
+            and self.versions.reads(owner, DIVISIONS_VERSION)
             and self._owes(giver, taker, self._incoming_cpus(taker))
         )
 
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -17,8 +17,8 @@
 
 FINISHED_PARTS_VERSION = 2  # pages of finished tasks and catalogues that go on in further values
 PAGED_LOADS_VERSION = 3  # load reports and running counts that tell of a part at a time
-DIVISIONS = 4  # the stored division, and requests to owners that name it
-VERSION = DIVISIONS
+DIVISIONS_VERSION = 4  # the stored division, and requests to owners that name it
+VERSION = DIVISIONS_VERSION
 
 
 class Versions:
@@ -52,7 +52,7 @@
     def all_read_divisions(self) -> bool:
         """Has it been noted that every member reads stored divisions?"""
         noted = self.store.get(FORMAT)
-        return noted is not None and noted.version >= DIVISIONS
+        return noted is not None and noted.version >= DIVISIONS_VERSION
 
     def reads(self, member: Member, version: int) -> bool:
         """Was the member last seen to read what that version brought?"""
@@ -84,6 +84,8 @@
 
     def _level(self, divided: bool) -> int:
         """The newest format of stored values that is wanted and that every member reads."""
-        wanted = (FINISHED_PARTS_VERSION, DIVISIONS) if divided else (FINISHED_PARTS_VERSION,)
+        wanted = (
+            (FINISHED_PARTS_VERSION, DIVISIONS_VERSION) if divided else (FINISHED_PARTS_VERSION,)
+        )
         read = [v for v in wanted if all(self.reads(m, v) for m in self.context.members)]
         return max(read, default=FORMER)
