--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -185,7 +185,9 @@
         self.divisions.tick()
         self.rental.tick()
         if self.rental.leadership.leading:
-            self.versions.note(self.rental.leadership.guard(), self.entitlements.active)
+            self.versions.record_common_version(
+                self.rental.leadership.guard(), self.entitlements.active
+            )
         self.confirmations.tick()
         now = self.context.now
         if now >= self._gossip_at + GOSSIP_EVERY_S:
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -62,7 +62,7 @@
         """None: not seen yet."""
         return {member: self._seen.get(member) for member in self.context.members}
 
-    def note(self, guard: Condition, divided: bool) -> None:
+    def record_common_version(self, guard: Condition, divided: bool) -> None:
         """By the leader: note what all read, once they do; `divided`: divisions are in use."""
         noted = self.store.get(FORMAT)
         level = self._level(divided)
