--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -168,7 +168,7 @@
         if not self.versions.all_read_divisions:
             former = [
                 member
-                for member, version in self.versions.seen().items()
+                for member, version in self.versions.by_member().items()
                 if version is None or version < DIVISIONS_VERSION
             ]
             return f"versions: not every controller is known to read divisions: {former}"
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -71,7 +71,7 @@
         "contact_s": round(now - node.store.last_contact, 2) if node.store.ready else None,
         "leader": node.rental.leadership.leader(),
         "leading": node.rental.leadership.leading,
-        "versions": node.versions.seen(),
+        "versions": node.versions.by_member(),
         "all_read": node.versions.all_read_parts,
         "shares": shares,
         "machines": machines,
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -58,7 +58,7 @@
         """Was the member last seen to read what that version brought?"""
         return self._seen.get(member, FORMER) >= version
 
-    def seen(self) -> dict[Member, int | None]:
+    def by_member(self) -> dict[Member, int | None]:
         """None: not seen yet."""
         return {member: self._seen.get(member) for member in self.context.members}
 
