--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -78,7 +78,7 @@
     def confirm(self, job: Job, then: Waiter) -> None:
         """Calls `then` with True once the cancellation may be told, with False if there is no
         evidence to be had, or none in time."""
-        if self.certain(job):
+        if self.is_confirmed(job):
             then(True)
             return
         inquiry = self._inquiries.get(job.uid)
@@ -90,7 +90,7 @@
         inquiry.waiters.append(then)
         self._ask(job, inquiry)
 
-    def certain(self, job: Job) -> bool:
+    def is_confirmed(self, job: Job) -> bool:
         """Is there enough evidence that the cancellation may be told?"""
         uid = job.uid
         if uid in self._confirmed:
@@ -167,7 +167,7 @@
 
     def _look(self, uid: JobId) -> None:
         inquiry, job = self._inquiries.get(uid), self.jobs.get(uid)
-        if inquiry is not None and job is not None and self.certain(job):
+        if inquiry is not None and job is not None and self.is_confirmed(job):
             self._end(uid, inquiry, True)
 
     def _end(self, uid: JobId, inquiry: _Inquiry, sure: bool) -> None:
@@ -181,7 +181,7 @@
         """Ask again for evidence, and give up what takes too long."""
         for uid, inquiry in list(self._inquiries.items()):
             job = self.jobs.get(uid)
-            if job is not None and self.certain(job):
+            if job is not None and self.is_confirmed(job):
                 self._end(uid, inquiry, True)
             elif job is None or self.context.now >= inquiry.until:
                 self._end(uid, inquiry, False)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -190,20 +190,20 @@
     job = node.jobs.get(JobId(UID))
     assert job is not None
     world.cancel(UID, taker)
-    assert job.stage == "cancelled" and not node.confirmations.certain(job)
+    assert job.stage == "cancelled" and not node.confirmations.is_confirmed(job)
     for _ in range(3):
         node.handle(
             world.now,
             t.PeerMessageReceived(Member(other), CancellationAck(JobId(UID), owner=False)),
         )
-    assert node.confirmations.certain(job) is (len(members) == 3)
+    assert node.confirmations.is_confirmed(job) is (len(members) == 3)
     for member in members:
         if member not in (taker, owner, other):
             node.handle(
                 world.now,
                 t.PeerMessageReceived(Member(member), CancellationAck(JobId(UID), owner=False)),
             )
-    assert node.confirmations.certain(job)
+    assert node.confirmations.is_confirmed(job)
 
 
 @BOTH
