--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -80,11 +80,11 @@
             if work is None or work.flushing:
                 continue
             if self.shares.may_command(work.share):
-                self.store_some(work, self._complete(work))
+                self.store_finished(work, self._complete(work))
             else:
                 self._look_at(uid, later(now, LOOK_AGAIN_S))
 
-    def store_some(self, work: Work, complete: bool) -> None:
+    def store_finished(self, work: Work, complete: bool) -> None:
         """Store finished tasks of the job; `complete`: all of them are."""
         job = work.job
         bits = work.finished
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -119,7 +119,7 @@
     node.scheduler.finishes._unstored[work.job.uid] = work
     while work.finished:
         node.store._write_budget.level = 1e9
-        node.scheduler.finishes.store_some(work, complete=False)
+        node.scheduler.finishes.store_finished(work, complete=False)
         node.store._flush()
         commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
         node.context.effects.clear()
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -29,7 +29,7 @@
 
     def flush(bits: int) -> t.Commit:
         work.finished |= bits
-        node.scheduler.finishes.store_some(work, complete=False)
+        node.scheduler.finishes.store_finished(work, complete=False)
         node.store._flush()
         commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
         node.context.effects.clear()
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -101,7 +101,7 @@
     node, work = finishing(20_000, {}, noted=False)  # the limit comes though nobody named it
     work.finished = 1 << 16_000
     node.scheduler.finishes._unstored[work.job.uid] = work
-    node.scheduler.finishes.store_some(work, complete=False)
+    node.scheduler.finishes.store_finished(work, complete=False)
     node.store._flush()
     commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
     node.context.effects.clear()
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -257,7 +257,7 @@
     node, machine = owner_of_some(ready())
     finishes, share = node.scheduler.finishes, machine.share.number
     asked: list[JobId] = []
-    finishes.store_some = lambda work, complete: asked.append(work.job.uid)  # type: ignore[method-assign]
+    finishes.store_finished = lambda work, complete: asked.append(work.job.uid)  # type: ignore[method-assign]
     works = []
     for n in range(50):
         job = Job(spec(f"j-1{n:05d}", tasks=5), Stamp(machine.share.epoch + 1))
