--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -202,7 +202,7 @@
             job.add_done(bits)
 
 
-def short(name: str) -> str:
+def name_digest(name: str) -> str:
     """Stands for a name that only has to be told from others."""
     return "~" + hashlib.blake2b(name.encode(), digest_size=16).hexdigest()
 
@@ -217,8 +217,8 @@
     if not fits(spec) and spec.types is not None:
         spec = msgspec.structs.replace(spec, types=tuple(t for t in spec.types if t in types))
     for name in ("image", "lane"):
-        if not fits(spec) and len(getattr(spec, name)) > len(short("")):
-            spec = msgspec.structs.replace(spec, **{name: short(getattr(spec, name))})
+        if not fits(spec) and len(getattr(spec, name)) > len(name_digest("")):
+            spec = msgspec.structs.replace(spec, **{name: name_digest(getattr(spec, name))})
     return spec if fits(spec) else None
 
 
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -7,7 +7,7 @@
 
 from .context import Context
 from .ids import Instant
-from .jobs import short
+from .jobs import name_digest
 from .quota import Quota
 from .work import Work, begun
 
@@ -38,7 +38,7 @@
     @staticmethod
     def _set(of_class: dict[str, Any], name: str, value: Any) -> None:
         """Under the name, and under what stands for it in the record of a large submission."""
-        of_class[name] = of_class[short(name)] = value
+        of_class[name] = of_class[name_digest(name)] = value
 
     def urgency(self, work: Work) -> tuple[bool, int, int, float, str]:
         """Guarantees, rank, then the nearest deadline among those that can still be kept: a job
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -17,7 +17,7 @@
 from runcourse.config import Operators
 from runcourse.core import types as t
 from runcourse.core.ids import Instant, JobId, MachineId, ShareNo, Stamp
-from runcourse.core.jobs import MAX_TASKS, PART_BITS, job_value, short, storable
+from runcourse.core.jobs import MAX_TASKS, PART_BITS, job_value, name_digest, storable
 from runcourse.core.leader.adoption import FoundMachine
 from runcourse.core.node import Node
 from runcourse.core.order import Order
@@ -41,7 +41,7 @@
     for stage in ("accepted", "cancelled", "done"):
         assert json_size(job_value(stored, stage)) <= LEAST
     assert stored.team == job.team and stored.zone == job.zone and stored.tasks == MAX_TASKS
-    assert stored.image == job.image or stored.image == short(job.image)
+    assert stored.image == job.image or stored.image == name_digest(job.image)
     wide = storable(largest(), [], LEAST)
     assert wide is not None
     # Of other letters one takes up to twelve bytes.
@@ -59,7 +59,7 @@
     settings = platform("n0", objectives=(Objective("wait", "l" * 200, within_s=3.0),))
     node = Node(settings, Operators(), random.Random(1), Instant(0.0))
     order = Order(node.context, Quota(node.context))
-    assert order.within[short("l" * 200)] == 3.0
+    assert order.within[name_digest("l" * 200)] == 3.0
 
 
 def test_the_pages_of_a_hundred_thousand_finished_tasks_fit_the_least_limits() -> None:
