--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -207,7 +207,7 @@
     return "~" + hashlib.blake2b(name.encode(), digest_size=16).hexdigest()
 
 
-def storable(spec: JobSpec, types: Collection[str], most: int) -> JobSpec | None:
+def fit_spec(spec: JobSpec, types: Collection[str], most: int) -> JobSpec | None:
     """The submission as it fits a value of `most` bytes; None: it can't. Types that there are
     none of, and long names that only have to be told apart, can go."""
 
@@ -230,4 +230,4 @@
 def final_value(spec: JobSpec, stage: str, most: int) -> JobValue:
     """Of a job that needs no machines any more. What the former version stored may be larger than
     the state service takes by now."""
-    return job_value(storable(spec, (), most) or spec, stage)
+    return job_value(fit_spec(spec, (), most) or spec, stage)
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -15,7 +15,7 @@
 from .confirmations import Confirmations
 from .context import Context
 from .ids import ABSENT, JobId, ShareNo, Stamp, Team, later
-from .jobs import JOB, UID, Job, Jobs, JobSpec, final_value, job_value, storable
+from .jobs import JOB, UID, Job, Jobs, JobSpec, final_value, fit_spec, job_value
 from .machines import Fleet
 from .quota import Quota
 from .running_counts import PeerCounts
@@ -159,7 +159,7 @@
             self.refuse(ask.request, 503, 1.0, "machine types not known yet")
         else:
             problem = self._impossible(ask.spec)
-            stored = storable(ask.spec, self.fleet.types, self.context.limits.value_bytes)
+            stored = fit_spec(ask.spec, self.fleet.types, self.context.limits.value_bytes)
             if problem:
                 self._verdict(ask.request, uid, 422, problem)
             elif stored is None:
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -17,7 +17,7 @@
 from runcourse.config import Operators
 from runcourse.core import types as t
 from runcourse.core.ids import Instant, JobId, MachineId, ShareNo, Stamp
-from runcourse.core.jobs import MAX_TASKS, PART_BITS, job_value, name_digest, storable
+from runcourse.core.jobs import MAX_TASKS, PART_BITS, fit_spec, job_value, name_digest
 from runcourse.core.leader.adoption import FoundMachine
 from runcourse.core.node import Node
 from runcourse.core.order import Order
@@ -36,21 +36,21 @@
 def test_the_largest_submission_fits_the_least_value() -> None:
     job = largest()
     known = [job.types[7], job.types[9]]  # type: ignore[index]
-    stored = storable(job, known, LEAST)
+    stored = fit_spec(job, known, LEAST)
     assert stored is not None and stored.types == tuple(known)
     for stage in ("accepted", "cancelled", "done"):
         assert json_size(job_value(stored, stage)) <= LEAST
     assert stored.team == job.team and stored.zone == job.zone and stored.tasks == MAX_TASKS
     assert stored.image == job.image or stored.image == name_digest(job.image)
-    wide = storable(largest(), [], LEAST)
+    wide = fit_spec(largest(), [], LEAST)
     assert wide is not None
     # Of other letters one takes up to twelve bytes.
     odd = spec("j-000001", lane="\U0001f600" * 200, image="\U0001f600" * 200)
-    stored = storable(odd, [], LEAST)
+    stored = fit_spec(odd, [], LEAST)
     assert stored is not None and json_size(job_value(stored, "cancelled")) <= LEAST
-    assert storable(spec("j-000001", team="\U0001f600" * 200), [], LEAST) is None
+    assert fit_spec(spec("j-000001", team="\U0001f600" * 200), [], LEAST) is None
     # What fits stays as it was sent.
-    assert storable(spec("j-000001"), [], LEAST) == spec("j-000001")
+    assert fit_spec(spec("j-000001"), [], LEAST) == spec("j-000001")
 
 
 def test_a_class_whose_name_was_shortened_keeps_its_promises() -> None:
