--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -188,7 +188,7 @@
             if not self._open_tasks[kind]:
                 del self._open_tasks[kind]
 
-    def open_tasks(self) -> Collection[tuple[str, float]]:
+    def open_task_sizes(self) -> Collection[tuple[str, float]]:
         """Each team with an open job, and the CPUs of one of its tasks, once for each number."""
         return self._open_tasks.keys()
 
--- a/runcourse/core/leader/spare_capacity.py
+++ b/runcourse/core/leader/spare_capacity.py
@@ -127,7 +127,7 @@
         another team.
         """
         largest: dict[ShareNo, float] = {}
-        for team, cpus in self.fleet.jobs.open_tasks():
+        for team, cpus in self.fleet.jobs.open_task_sizes():
             share = self.shares.of_team(Team(team))
             largest[share] = max(largest.get(share, 0.0), cpus)
         return largest
