--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -124,7 +124,9 @@
     def __init__(self) -> None:
         self._jobs: dict[JobId, Job] = {}
         self._open: dict[JobId, Job] = {}
-        self._open_tasks: Counter[tuple[str, float]] = Counter()  # jobs by team and a task's CPUs
+        self._open_task_sizes: Counter[tuple[str, float]] = (
+            Counter()
+        )  # jobs by team and a task's CPUs
         self._early_pages: dict[JobId, int] = {}
         self._cancelled: list[tuple[Stamp, JobId]] = []
         self._told: dict[JobId, None] = {}  # cancellations that peers know of, not read yet
@@ -160,7 +162,7 @@
                 self._close(job)
             elif uid not in self._open:
                 self._open[uid] = job
-                self._open_tasks[job.spec.team, job.spec.cpus] += 1
+                self._open_task_sizes[job.spec.team, job.spec.cpus] += 1
         job.stamp = stamp
         return job
 
@@ -184,13 +186,13 @@
     def _close(self, job: Job) -> None:
         if self._open.pop(job.uid, None) is not None:
             kind = (job.spec.team, job.spec.cpus)
-            self._open_tasks[kind] -= 1
-            if not self._open_tasks[kind]:
-                del self._open_tasks[kind]
+            self._open_task_sizes[kind] -= 1
+            if not self._open_task_sizes[kind]:
+                del self._open_task_sizes[kind]
 
     def open_task_sizes(self) -> Collection[tuple[str, float]]:
         """Each team with an open job, and the CPUs of one of its tasks, once for each number."""
-        return self._open_tasks.keys()
+        return self._open_task_sizes.keys()
 
     def apply_page(self, uid: JobId, page: int, value: PageValue, length: int = PAGE_BITS) -> None:
         """Take a page of finished tasks, of `length` tasks each."""
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -66,7 +66,7 @@
             w.job.uid for w in plain
         }
     kinds = Counter((job.spec.team, job.spec.cpus) for job in node.jobs.open_jobs())
-    assert dict(node.jobs._open_tasks) == dict(kinds)
+    assert dict(node.jobs._open_task_sizes) == dict(kinds)
     rental = node.rental
     adopting = MachineGroups(rental.adoption._pending_records.values())
     assert dict(rental.adoption.pending_groups().counts()) == dict(adopting.counts())
