--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -74,7 +74,7 @@
             min(self.renewed, self.store.last_synced) + self.ttl * (1 - CLOCK_DRIFT) - 0.05
         )
 
-    def end(self) -> Instant:
+    def ends_at(self) -> Instant:
         """Until when this node may act, as far as is known now: its lease and its contact, or
         the grants of a majority. What is decided before must not leave after it."""
         if not self.live or self._refuted:
@@ -89,7 +89,7 @@
 
     def entitled(self) -> bool:
         """May this node act now?"""
-        return self.context.now < self.end()
+        return self.context.now < self.ends_at()
 
     def live_incarnation(self, member: Member) -> Incarnation | None:
         """The incarnation of the member whose lease stands, if any."""
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -296,7 +296,8 @@
             if self.fleet.reports.overtaken(beat.report):
                 self.fleet.answered(machine)
                 self._answer(
-                    beat, ReportAnswer(beat.request, 200, machine.token, until=self.authority.end())
+                    beat,
+                    ReportAnswer(beat.request, 200, machine.token, until=self.authority.ends_at()),
                 )
             else:
                 self._answer(beat, ReportAnswer(beat.request, 503))
@@ -312,7 +313,8 @@
         orders = self.fleet.commands.orders(machine, answering=True)  # may raise the token
         self.fleet.commands.pace(machine)
         self._answer(
-            beat, ReportAnswer(beat.request, 200, machine.token, orders, until=self.authority.end())
+            beat,
+            ReportAnswer(beat.request, 200, machine.token, orders, until=self.authority.ends_at()),
         )
 
     def _reachable(self, member: Member) -> bool:
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -217,7 +217,7 @@
                 self._unanswered(machine, outcome, first)
 
         self.context.emit(
-            Command(done, machine.addr, token, session, orders, self.shares.authority.end())
+            Command(done, machine.addr, token, session, orders, self.shares.authority.ends_at())
         )
 
     def _note_starts(self, machine: Machine) -> list[Placement]:
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -104,7 +104,7 @@
                 if isinstance(e, t.ReportAnswer)
             )
             assert note_route.status == 200
-            assert note_route.until == node.authority.end() < world.now + node.authority.ttl
+            assert note_route.until == node.authority.ends_at() < world.now + node.authority.ttl
         seen: list[t.UserAnswer] = []
         world.ask("user", member, t.Poll(0, "j-000502"), seen.append)
         world.run(1.0)
