--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -66,7 +66,7 @@
     # --- what others ask of it -----------------------------------------------------------
 
     @property
-    def lease_until(self) -> Instant:
+    def until(self) -> Instant:
         """End of the authority that the lease gives by itself."""
         if not self.live:
             return LONG_AGO
@@ -78,14 +78,14 @@
         """Until when this node may act, as far as is known now: its lease and its contact, or
         the grants of a majority. What is decided before must not leave after it."""
         if not self.live or self._refuted:
-            return self.lease_until
+            return self.until
         needed = self.context.majority - 1
         if not needed:
             return FAR_FUTURE
         if len(self._grants_held) < needed:
-            return self.lease_until
+            return self.until
         votes = sorted(self._grants_held.values(), reverse=True)
-        return max(self.lease_until, votes[needed - 1])
+        return max(self.until, votes[needed - 1])
 
     def entitled(self) -> bool:
         """May this node act now?"""
@@ -119,9 +119,9 @@
                 self._write_live()
             else:
                 self._extend()
-        if self.live and now > self.lease_until - self.ttl * 0.45:
+        if self.live and now > self.until - self.ttl * 0.45:
             self._request_grants()
-        if now < self.lease_until:
+        if now < self.until:
             self._refuted = False
 
     def _obtain_lease(self) -> None:
@@ -281,5 +281,5 @@
         else:
             self._grants_held.pop(member, None)
             # Any peer with contact ends it: the store is there, and it isn't for this node.
-            if message.contact and self.context.now >= self.lease_until:
+            if message.contact and self.context.now >= self.until:
                 self._refuted = True
--- a/runcourse/core/leader/leadership.py
+++ b/runcourse/core/leader/leadership.py
@@ -27,7 +27,7 @@
             bool(value)
             and value.incarnation == self.authority.incarnation
             and self.authority.live
-            and self.context.now < self.authority.lease_until
+            and self.context.now < self.authority.until
         )
 
     def leader(self) -> str | None:
@@ -42,7 +42,7 @@
             or not self.authority.live
             or self.authority.lease is None
             or self.store.get(LEADER)
-            or self.context.now >= self.authority.lease_until
+            or self.context.now >= self.authority.until
         ):
             return
         self._claiming = True
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -215,7 +215,7 @@
 
     def tick(self) -> None:
         """Take over what has no owner, and hand back what has its home node again."""
-        if not self.authority.live or self.context.now >= self.authority.lease_until:
+        if not self.authority.live or self.context.now >= self.authority.until:
             return
         for member in self.context.members:
             incarnation = self.authority.live_incarnation(member)
