--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -1,9 +1,10 @@
-"""May this node act? Its leased `live` key, its contact with the store, and quorum grants.
+"""This node's authority to act: its leased `live` key, its contact with the store, quorum grants.
 
-A node acts until the time-to-live of its lease has passed since it last *sent* a renewal
-that succeeded and a catch-up read that succeeded. Beyond that it acts only while a
-majority, itself included, grants it more time, each because it too has no contact with the
-state service: then the leases stand still and nobody can have taken anything over.
+A node may act until the time-to-live of its lease has passed since it last *sent* a renewal
+that succeeded and a catch-up read that succeeded. After that it may act only while a
+majority, itself included, grants it more time. A node grants time only while it has no
+contact with the state service itself: during such an outage the leases do not change, and no
+other node can have taken over a share.
 """
 
 from __future__ import annotations
@@ -20,8 +21,23 @@
 from .types import Condition, ExtendLease, GrantLease, Outcome, SendToPeer, Write
 from .versions import VERSION, Versions
 
-FAILED_LATELY_S = 2.0  # beyond the longest wait for an answer of the state service
+TTL_LEASE_FRACTION = 0.3  # of the workers' lease, for the time-to-live of the `live` key
+MIN_TTL_S = 1.5
+MAX_TTL_S = 5.0
+GRANT_TTL_FRACTION = 0.75  # of the time-to-live, for the duration of a quorum grant
+MIN_GRANT_S = 1.0
+LEASE_MARGIN_S = 0.05  # by which authority ends before the lease
+RENEWALS_PER_TTL = 4
+RETRY_S = 0.2  # after a request for the lease or the live key that failed
+REQUEST_GRANTS_TTL_FRACTION = 0.45  # remaining share of the time-to-live at which requests start
+GRANT_REQUEST_INTERVAL_S = 0.4
+MAX_OPEN_GRANT_REQUESTS = 20  # responses to older requests are ignored
+RECENT_FAILURE_S = 2.0  # longer than the longest wait for an answer of the state service
+RECENT_CONTACT_S = 1.0
 MAX_CANCELLATIONS_IN_GRANT = 200  # with more, the grant is withheld
+INCARNATION_BITS = 64
+REQUEST_NUMBER_BITS = 48
+MS_PER_S = 1000
 
 
 class Authority:
@@ -42,111 +58,123 @@
         self.jobs = jobs
         self.versions = versions
         self._on_cancelled = on_cancelled
-        self.incarnation = Incarnation(f"{context.rng.getrandbits(64):016x}")
+        self.incarnation = Incarnation(f"{context.rng.getrandbits(INCARNATION_BITS):016x}")
         lease = context.platform.settings.workers.lease_s
-        self.ttl = context.operators.live_ttl or min(max(lease * 0.3, 1.5), 5.0)
-        self.grant_s = max(self.ttl * 0.75, 1.0)
+        # Time-to-live of the `live` key in seconds.
+        self.ttl = context.operators.live_ttl or min(
+            max(lease * TTL_LEASE_FRACTION, MIN_TTL_S), MAX_TTL_S
+        )
+        self.grant_s = max(self.ttl * GRANT_TTL_FRACTION, MIN_GRANT_S)
         self.lease: int | None = None
-        self.live = False  # the live key stands, as far as is known
-        self.renewed = LONG_AGO  # when the newest renewal that succeeded was sent
+        self.live = False  # the live key exists, as far as this node knows
+        self.renewal_sent_at = LONG_AGO  # of the newest renewal that succeeded
         self._on_live = on_live
         self._on_lost = on_lost
-        self._busy = False
-        self._next = Instant(0.0)
-        self._gone: dict[Member, Incarnation] = {}  # dead incarnations this node attests
-        self._never_grant: set[Incarnation] = set()
-        self._grants_given: dict[Member, Instant] = {}  # to whom, until when
-        self._grants_held: dict[Member, Instant] = {}  # of whom, until when
-        self._ask = context.rng.getrandbits(48)  # not an earlier process's numbers
-        self._asked = LONG_AGO
-        self._asked_at: dict[int, Instant] = {}
-        self._refuted = False
+        self._request_pending = False
+        self._next_request_at = Instant(0.0)
+        self._attested_ends: dict[Member, Incarnation] = {}  # whose lease this node saw end
+        self._never_grant: set[Incarnation] = set()  # their leases were seen to have ended
+        self._grants_given: dict[Member, Instant] = {}  # end of the grant given to a member
+        self._grants_held: dict[Member, Instant] = {}  # end of the grant received from a member
+        # Starts at a random number, so that a response to an earlier process is not taken for one
+        # to this process.
+        self._request_number = context.rng.getrandbits(REQUEST_NUMBER_BITS)
+        self._last_request_at = LONG_AGO
+        self._request_sent_at: dict[int, Instant] = {}
+        self._outage_refuted = False  # a peer has contact, so the grants no longer count
         store.listen(LIVE, self._live_changed)
 
-    # --- what others ask of it -----------------------------------------------------------
+    # --- queries -------------------------------------------------------------------------
 
     @property
     def until(self) -> Instant:
-        """End of the authority that the lease gives by itself."""
+        """Returns when the authority ends that the lease gives without quorum grants."""
         if not self.live:
             return LONG_AGO
         return Instant(
-            min(self.renewed, self.store.last_synced) + self.ttl * (1 - CLOCK_DRIFT) - 0.05
+            min(self.renewal_sent_at, self.store.last_synced)
+            + self.ttl * (1 - CLOCK_DRIFT)
+            - LEASE_MARGIN_S
         )
 
     def ends_at(self) -> Instant:
-        """Until when this node may act, as far as is known now: its lease and its contact, or
-        the grants of a majority. What is decided before must not leave after it."""
-        if not self.live or self._refuted:
+        """Returns the instant until which this node may act, as far as it knows now.
+
+        It follows from the lease and the contact, or from the grants of a majority. Effects that
+        rest on this authority must not leave the process after that instant.
+        """
+        if not self.live or self._outage_refuted:
             return self.until
         needed = self.context.majority - 1
         if not needed:
             return FAR_FUTURE
         if len(self._grants_held) < needed:
             return self.until
-        votes = sorted(self._grants_held.values(), reverse=True)
-        return max(self.until, votes[needed - 1])
+        ends = sorted(self._grants_held.values(), reverse=True)
+        return max(self.until, ends[needed - 1])
 
     def entitled(self) -> bool:
-        """May this node act now?"""
+        """Returns whether this node may act now."""
         return self.context.now < self.ends_at()
 
     def live_incarnation(self, member: Member) -> Incarnation | None:
-        """The incarnation of the member whose lease stands, if any."""
+        """Returns the incarnation of the member whose lease is valid, or None."""
         value = self.store.get(LIVE + member)
         return value.incarnation if value else None
 
     def live_members(self) -> list[Member]:
-        """The members whose leases stand."""
+        """Returns the members whose leases are valid."""
         return [m for m in self.context.members if self.live_incarnation(m) is not None]
 
     def attests(self, member: Member, incarnation: Incarnation) -> bool:
-        """Did `member`, having contact, state that it saw this incarnation's lease end?"""
+        """Returns whether `member` attests in its live key that it saw this incarnation's lease
+        end."""
         value = self.store.get(LIVE + member)
         return bool(value) and incarnation in value.gone
 
     # --- the lease -----------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Obtain or renew the lease, and ask for quorum grants when it runs out."""
+        """Obtains or renews the lease, and requests quorum grants when it is about to expire."""
         now = self.context.now
         if not self.store.ready:
             return
-        if not self._busy and now >= self._next:
+        if not self._request_pending and now >= self._next_request_at:
             if self.lease is None:
                 self._obtain_lease()
             elif not self.live:
                 self._write_live()
             else:
                 self._extend()
-        if self.live and now > self.until - self.ttl * 0.45:
+        if self.live and now > self.until - self.ttl * REQUEST_GRANTS_TTL_FRACTION:
             self._request_grants()
         if now < self.until:
-            self._refuted = False
+            self._outage_refuted = False
 
     def _obtain_lease(self) -> None:
-        self._busy = True
+        self._request_pending = True
 
         def done(outcome: Outcome) -> None:
-            self._busy = False
-            self._next = Instant(self.context.now + 0.2)
+            self._request_pending = False
+            self._next_request_at = Instant(self.context.now + RETRY_S)
             if outcome.status == 200:
                 self.lease = int(outcome.body)
-                self.renewed = Instant(outcome.began)
+                self.renewal_sent_at = Instant(outcome.began)
                 self._write_live()
 
-        self.context.emit(GrantLease(done, int(self.ttl * 1000)))
+        self.context.emit(GrantLease(done, int(self.ttl * MS_PER_S)))
 
-    def _value(self) -> LiveValue:
-        return LiveValue(self.incarnation, sorted(set(self._gone.values())), VERSION)
+    def _live_value(self) -> LiveValue:
+        return LiveValue(self.incarnation, sorted(set(self._attested_ends.values())), VERSION)
 
     def _write_live(self) -> None:
-        self._busy = True
+        self._request_pending = True
 
         def done(result: CommitResult, stamp: Stamp) -> None:
-            self._busy = False
-            self._next = Instant(
-                self.context.now + (self.ttl / 4 if result is CommitResult.OK else 0.2)
+            self._request_pending = False
+            self._next_request_at = Instant(
+                self.context.now
+                + (self.ttl / RENEWALS_PER_TTL if result is CommitResult.OK else RETRY_S)
             )
             if result is CommitResult.OK:
                 self.live = True
@@ -154,106 +182,117 @@
             elif result is CommitResult.LEASE_ENDED:
                 self.lease = None
 
-        # Whatever process wrote this key under this name before is dead. But a copy of its
-        # write, or of this one, may yet be applied: the version makes it fail.
-        me = LIVE + self.context.me
+        # The process that wrote this key under this name before is dead. A copy of its write, or
+        # of this one, may still be applied later: the condition on the stamp makes it fail.
+        live_key = LIVE + self.context.me
         self.store.commit(
-            [self.store.expect(me)], [Write(me, self._value(), self.lease)], done, Store.URGENT
+            [self.store.expect(live_key)],
+            [Write(live_key, self._live_value(), self.lease)],
+            done,
+            Store.URGENT,
         )
 
     def _extend(self) -> None:
-        self._busy = True
+        self._request_pending = True
         assert self.lease is not None
 
         def done(outcome: Outcome) -> None:
-            self._busy = False
-            # Counted from the sending: where answers are slow, the next one must not wait too.
-            self._next = (
-                Instant(outcome.began + self.ttl / 4)
+            self._request_pending = False
+            # The interval counts from the sending, so that slow answers do not delay the next
+            # renewal.
+            self._next_request_at = (
+                Instant(outcome.began + self.ttl / RENEWALS_PER_TTL)
                 if outcome.status == 200
-                else later(self.context.now, 0.2)
+                else later(self.context.now, RETRY_S)
             )
             self.store.note_contact(outcome.status == 200, outcome.status, Instant(outcome.began))
             if outcome.status == 200:
-                self.renewed = max(self.renewed, Instant(outcome.began))
+                self.renewal_sent_at = max(self.renewal_sent_at, Instant(outcome.began))
             elif outcome.status == 404:
-                self.lose("the lease ended")
+                self._end_incarnation("the lease ended")
 
         self.context.emit(ExtendLease(done, self.lease))
 
-    def lose(self, why: str) -> None:
-        """This incarnation is over; the next one starts as a restarted process would."""
+    def _end_incarnation(self, reason: str) -> None:
+        """Ends this incarnation; the next one starts as after a restart of the process."""
         if self.live:
-            self.context.log("warning", f"authority lost: {why}")
+            self.context.log("warning", f"authority lost: {reason}")
         self.live = False
         self.lease = None
-        self.incarnation = Incarnation(f"{self.context.rng.getrandbits(64):016x}")
+        self.incarnation = Incarnation(f"{self.context.rng.getrandbits(INCARNATION_BITS):016x}")
         self._grants_held.clear()
-        self._next = self.context.now
-        self._on_lost(why)
+        self._next_request_at = self.context.now
+        self._on_lost(reason)
 
     def _live_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         member = Member(key[len(LIVE) :])
         self.versions.live_changed(key, value, stamp)
         if member == self.context.me:
             if self.live and (value is None or value.incarnation != self.incarnation):
-                self.lose("the live key is gone or another's")
+                self._end_incarnation("the live key was deleted or belongs to another process")
             return
         if value is not None:
-            self._gone.pop(member, None)
+            self._attested_ends.pop(member, None)
 
-    def saw_end(self, member: Member, incarnation: Incarnation) -> None:
-        """`member`'s lease is seen to have ended: that incarnation gets no grant again,
-        and say so in the live key, which only a node with contact can write."""
+    def record_lease_end(self, member: Member, incarnation: Incarnation) -> None:
+        """Records that `member`'s lease has ended.
+
+        That incarnation gets no grant again, and this node attests the end in its live key,
+        which only a node with contact can write.
+        """
         self._never_grant.add(incarnation)
-        if self._gone.get(member) == incarnation or not self.live or self._busy:
+        if self._attested_ends.get(member) == incarnation or not self.live or self._request_pending:
             return
         if self.context.now < self._grants_given.get(member, LONG_AGO):
             return
-        # A process that just started may have granted it and forgotten.
+        # A process that has just started may have granted it time before its restart.
         if self.context.now < self.context.started + self.grant_s * (1 + CLOCK_DRIFT):
             return
-        self._gone[member] = incarnation
-        self._busy = True
-        me = LIVE + self.context.me
+        self._attested_ends[member] = incarnation
+        self._request_pending = True
+        live_key = LIVE + self.context.me
 
         def done(result: CommitResult, stamp: Stamp) -> None:
-            self._busy = False
+            self._request_pending = False
             if result is not CommitResult.OK:
-                self._gone.pop(member, None)
+                self._attested_ends.pop(member, None)
 
-        when = [Condition(LIVE + member, ABSENT), self.store.expect(me)]
-        self.store.commit(when, [Write(me, self._value(), self.lease)], done, Store.URGENT)
+        when = [Condition(LIVE + member, ABSENT), self.store.expect(live_key)]
+        self.store.commit(
+            when, [Write(live_key, self._live_value(), self.lease)], done, Store.URGENT
+        )
 
     # --- quorum grants -------------------------------------------------------------------
 
     def _request_grants(self) -> None:
         now = self.context.now
-        if now < self._asked + 0.4:
+        if now < self._last_request_at + GRANT_REQUEST_INTERVAL_S:
             return
-        self._asked = now
-        self._ask += 1
-        self._asked_at[self._ask] = now
-        self._asked_at.pop(self._ask - 20, None)
+        self._last_request_at = now
+        self._request_number += 1
+        self._request_sent_at[self._request_number] = now
+        self._request_sent_at.pop(self._request_number - MAX_OPEN_GRANT_REQUESTS, None)
         self.context.emit(
-            SendToPeer(None, GrantRequest(self.incarnation, self._ask, self.store.applied))
+            SendToPeer(
+                None, GrantRequest(self.incarnation, self._request_number, self.store.applied)
+            )
         )
 
     def handle_grant_request(self, member: Member, message: GrantRequest) -> None:
-        """A peer without contact asks whether this node has none either."""
+        """Answers a peer without contact, which asks for more time."""
         now = self.context.now
         incarnation = message.incarnation
-        # One failure amid successes is no outage: such a node must not keep another going.
-        recently = self.store.last_contact > now - 1.0
-        # The asker may have lost contact earlier than this node: what was cancelled meanwhile
-        # must not run on for as long as it holds grants.
-        news = self.jobs.cancelled_since(message.applied)
+        # One failure amid successes is no outage, and must not prolong a peer's authority.
+        recent_contact = self.store.last_contact > now - RECENT_CONTACT_S
+        # The peer may have lost contact earlier than this node. Jobs cancelled in between must
+        # not run on for as long as it holds grants.
+        cancelled = self.jobs.cancelled_since(message.applied)
         ok = (
-            len(news) <= MAX_CANCELLATIONS_IN_GRANT
-            # What failed before this process stood still says nothing of now.
+            len(cancelled) <= MAX_CANCELLATIONS_IN_GRANT
+            # A failure from before a pause of this process does not show an outage now.
             and self.store.failing
-            and self.store.failed_at > now - FAILED_LATELY_S
-            and not recently
+            and self.store.failed_at > now - RECENT_FAILURE_S
+            and not recent_contact
             and incarnation not in self._never_grant
             and self.live_incarnation(member) == incarnation
             and now > self.context.started + self.grant_s * (1 + CLOCK_DRIFT)
@@ -264,14 +303,18 @@
             SendToPeer(
                 member,
                 GrantResponse(
-                    incarnation, message.number, ok, recently, news[:MAX_CANCELLATIONS_IN_GRANT]
+                    incarnation,
+                    message.number,
+                    ok,
+                    recent_contact,
+                    cancelled[:MAX_CANCELLATIONS_IN_GRANT],
                 ),
             )
         )
 
     def handle_grant_response(self, member: Member, message: GrantResponse) -> None:
-        """A peer answered a request for a quorum grant."""
-        sent = self._asked_at.get(message.number)
+        """Takes a peer's response to a request for a quorum grant."""
+        sent = self._request_sent_at.get(message.number)
         if sent is None or message.incarnation != self.incarnation:
             return
         self._on_cancelled(message.cancelled)
@@ -280,6 +323,7 @@
             self._grants_held[member] = max(until, self._grants_held.get(member, until))
         else:
             self._grants_held.pop(member, None)
-            # Any peer with contact ends it: the store is there, and it isn't for this node.
+            # Contact at any peer shows that the state service works and only this node has no
+            # contact: its grants no longer count.
             if message.contact and self.context.now >= self.until:
-                self._refuted = True
+                self._outage_refuted = True
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -1,16 +1,18 @@
-"""When a user may be told that a job is cancelled, and the evidence for it.
+"""When an answer to a user may say that a job is cancelled, and the evidence this needs.
 
-Nobody is told before every node that can still command the job's machines is certain to know of
-the cancellation, or to have lost its authority, in time. One of three things proves it:
+A user gets this answer only once every node that can still command the job's machines is
+certain to know of the cancellation, or to have lost its authority, in time. Each of these
+proves it:
 
-- this node owns the job's share and may command: it knows;
-- the share's present owner says, over the peer link, that it knows;
-- a *quorum* of nodes knows: so many that any majority that could grant any owner more
-  time has one of them in it, and a grant brings what its giver knows, or is refused.
+- This node owns the job's share and may command its machines.
+- The share's present owner acknowledges the cancellation over the peer link.
+- A *quorum* of nodes knows of the cancellation. Every majority that could grant an owner more
+  time includes one of them, and a grant either carries the cancellations that the granting node
+  knows or is refused.
 
-Knowing lasts: a cancellation is stored before anybody hears of it, and a process that starts
-anew reads everything before it owns, grants or answers. So it does not matter how late a
-peer's word arrives, nor whether the process that gave it is still the same.
+An acknowledgement stays true: a cancellation is stored before it is announced, and a restarted
+process reads everything before it owns a share, grants time or answers. So it does not matter
+how late an acknowledgement arrives, nor whether its sender has restarted since.
 """
 
 from __future__ import annotations
@@ -26,27 +28,28 @@
 from .store import Store
 from .types import SendToPeer
 
-ANSWER_WITHIN_S = 0.4  # without evidence by then the user is told when to come back
-ASK_AGAIN_S = 0.1
-PEER_TIMEOUT_S = 2.5  # a peer that said nothing for so long is not waited for
-MOST_REMEMBERED = 5000  # of jobs not confirmed yet: what peers said of them
+ANSWER_WITHIN_S = 0.4  # without evidence by then, the answer is when to try again
+REQUEST_INTERVAL_S = 0.1  # between two requests for the same evidence
+PEER_TIMEOUT_S = 2.5  # a peer without a heartbeat for so long is not waited for
+MAX_UNCONFIRMED_JOBS = 5000  # whose acknowledgements are kept
+REQUEST_NUMBER_BITS = 48
 
 Waiter = Callable[[bool], None]
 
 
 class _Inquiry:
-    """A cancellation that users wait to be told of."""
+    """A cancellation whose confirmation users wait for."""
 
-    __slots__ = ("asked", "until", "waiters")
+    __slots__ = ("requested_at", "until", "waiters")
 
     def __init__(self, until: Instant) -> None:
         self.until = until
-        self.asked = LONG_AGO
+        self.requested_at = LONG_AGO
         self.waiters: list[Waiter] = []
 
 
 class Confirmations:
-    """Collects the evidence and tells those who wait for it."""
+    """Collects the evidence and calls the callbacks that wait for it."""
 
     def __init__(
         self, context: Context, store: Store, authority: Authority, shares: Shares, jobs: Jobs
@@ -59,43 +62,47 @@
         self._confirmed: set[JobId] = set()
         self._acknowledged_by: dict[JobId, set[Member]] = {}
         self._inquiries: dict[JobId, _Inquiry] = {}
-        self._heard: dict[Member, Instant] = {}
-        self._applied: dict[Member, Stamp] = {}  # up to where peers have read, as they said
-        # The former version doesn't say what it knows, but its grants do: by question asked.
+        self._heartbeat_at: dict[Member, Instant] = {}
+        self._applied_by_peer: dict[Member, Stamp] = {}  # revision up to which peers have read
+        # Requests to peers of the former version, which doesn't acknowledge cancellations but lists
+        # them in its responses; by number.
         self._grant_requests: dict[int, JobId] = {}
-        self._number = context.rng.getrandbits(48)
+        self._request_number = context.rng.getrandbits(REQUEST_NUMBER_BITS)
 
     @property
     def waiting(self) -> int:
-        """Cancellations that users wait to be told of."""
+        """Returns the number of cancellations whose confirmation users wait for."""
         return len(self._inquiries)
 
     @property
     def quorum(self) -> int:
-        """So many nodes that know meet every majority that grants an owner not among them time."""
+        """Returns how many nodes must know of a cancellation so that each majority that could grant
+        time to an owner outside of them includes one of them."""
         return len(self.context.members) - self.context.majority + 1
 
     def confirm(self, job: Job, then: Waiter) -> None:
-        """Calls `then` with True once the cancellation may be told, with False if there is no
-        evidence to be had, or none in time."""
+        """Calls `then` with True once the cancellation is confirmed, or with False if no evidence
+        can be obtained, or none in time."""
         if self.is_confirmed(job):
             then(True)
             return
         inquiry = self._inquiries.get(job.uid)
         if inquiry is None:
-            if not self._hopeful(job):
+            if not self._can_be_confirmed(job):
                 then(False)
                 return
             inquiry = self._inquiries[job.uid] = _Inquiry(later(self.context.now, ANSWER_WITHIN_S))
         inquiry.waiters.append(then)
-        self._ask(job, inquiry)
+        self._request_evidence(job, inquiry)
 
     def is_confirmed(self, job: Job) -> bool:
-        """Is there enough evidence that the cancellation may be told?"""
+        """Returns whether there is enough evidence that the cancellation may be reported."""
         uid = job.uid
         if uid in self._confirmed:
             return True
-        knowing = {m for m, applied in self._applied.items() if ABSENT < job.cancelled <= applied}
+        knowing = {
+            m for m, applied in self._applied_by_peer.items() if ABSENT < job.cancelled <= applied
+        }
         knowing |= self._acknowledged_by.get(uid, set())
         owns = self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
         if not owns and 1 + len(knowing) < self.quorum:
@@ -104,86 +111,92 @@
         self._acknowledged_by.pop(uid, None)
         return True
 
-    def _hopeful(self, job: Job) -> bool:
-        """Are there peers left whose word would do?"""
-        near = [m for m, at in self._heard.items() if self.context.now - at < PEER_TIMEOUT_S]
+    def _can_be_confirmed(self, job: Job) -> bool:
+        """Returns whether the peers that are reachable suffice to confirm the cancellation."""
+        reachable = [
+            m for m, at in self._heartbeat_at.items() if self.context.now - at < PEER_TIMEOUT_S
+        ]
         owner = self.shares.living_owner(self.shares.of_team(Team(job.spec.team)))
-        return owner in near or 1 + len(near) >= self.quorum
+        return owner in reachable or 1 + len(reachable) >= self.quorum
 
-    def _ask(self, job: Job, inquiry: _Inquiry) -> None:
+    def _request_evidence(self, job: Job, inquiry: _Inquiry) -> None:
         now = self.context.now
-        if now < inquiry.asked + ASK_AGAIN_S:
+        if now < inquiry.requested_at + REQUEST_INTERVAL_S:
             return
-        inquiry.asked = now
+        inquiry.requested_at = now
         self.context.emit(SendToPeer(None, CancellationNotice(job.uid, ask=True)))
         for member in self.context.members:
-            if member == self.context.me or member in self._applied or job.cancelled == ABSENT:
+            if (
+                member == self.context.me
+                or member in self._applied_by_peer
+                or job.cancelled == ABSENT
+            ):
                 continue
-            self._number += 1
-            self._grant_requests[self._number] = job.uid
+            self._request_number += 1
+            self._grant_requests[self._request_number] = job.uid
             self.context.emit(
                 SendToPeer(
                     member,
                     GrantRequest(
-                        self.authority.incarnation, self._number, Stamp(job.cancelled - 1)
+                        self.authority.incarnation, self._request_number, Stamp(job.cancelled - 1)
                     ),
                 )
             )
 
-    # --- what peers say ------------------------------------------------------------------
+    # --- messages of peers ---------------------------------------------------------------
 
     def record_heartbeat(self, member: Member, applied: int | None) -> None:
-        """A peer's greeting; the former version's does not say how far it has read."""
-        self._heard[member] = self.context.now
+        """Records a peer's heartbeat; the former version sends no `applied`."""
+        self._heartbeat_at[member] = self.context.now
         if applied is None:
-            self._applied.pop(member, None)
+            self._applied_by_peer.pop(member, None)
         else:
-            self._applied[member] = Stamp(applied)
+            self._applied_by_peer[member] = Stamp(applied)
 
     def acknowledgement(self, uid: JobId) -> CancellationAck:
-        """This node's word that it knows of the cancellation, and whether as its job's owner."""
+        """Returns this node's acknowledgement of a cancellation, with whether it owns the job."""
         job = self.jobs.get(uid)
         owns = job is not None and self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
         return CancellationAck(uid, owns)
 
     def record_ack(self, member: Member, uid: JobId, owner: bool) -> None:
-        """A peer says that it knows of the cancellation, or that it owns the job."""
+        """Records that a peer, perhaps as the owner of the job, knows of the cancellation."""
         if uid in self._confirmed:
             return
         if owner:
             self._confirmed.add(uid)
             self._acknowledged_by.pop(uid, None)
         else:
-            while len(self._acknowledged_by) >= MOST_REMEMBERED:
+            while len(self._acknowledged_by) >= MAX_UNCONFIRMED_JOBS:
                 del self._acknowledged_by[next(iter(self._acknowledged_by))]
             self._acknowledged_by.setdefault(uid, set()).add(member)
-        self._look(uid)
+        self._complete_if_confirmed(uid)
 
     def record_grant(self, member: Member, number: int, cancelled: list[JobId]) -> None:
-        """The former version lists with its grant what it has read of cancellations."""
+        """Takes the cancellations that a peer of the former version lists in a grant response."""
         uid = self._grant_requests.get(number)
         if uid is not None and uid in cancelled:
             self.record_ack(member, uid, False)
 
-    def _look(self, uid: JobId) -> None:
+    def _complete_if_confirmed(self, uid: JobId) -> None:
         inquiry, job = self._inquiries.get(uid), self.jobs.get(uid)
         if inquiry is not None and job is not None and self.is_confirmed(job):
-            self._end(uid, inquiry, True)
+            self._complete(uid, inquiry, True)
 
-    def _end(self, uid: JobId, inquiry: _Inquiry, sure: bool) -> None:
+    def _complete(self, uid: JobId, inquiry: _Inquiry, confirmed: bool) -> None:
         del self._inquiries[uid]
-        for number in [n for n, asked in self._grant_requests.items() if asked == uid]:
+        for number in [n for n, requested in self._grant_requests.items() if requested == uid]:
             del self._grant_requests[number]
         for waiter in inquiry.waiters:
-            waiter(sure)
+            waiter(confirmed)
 
     def tick(self) -> None:
-        """Ask again for evidence, and give up what takes too long."""
+        """Requests evidence again, and ends inquiries that are confirmed or have timed out."""
         for uid, inquiry in list(self._inquiries.items()):
             job = self.jobs.get(uid)
             if job is not None and self.is_confirmed(job):
-                self._end(uid, inquiry, True)
+                self._complete(uid, inquiry, True)
             elif job is None or self.context.now >= inquiry.until:
-                self._end(uid, inquiry, False)
+                self._complete(uid, inquiry, False)
             else:
-                self._ask(job, inquiry)
+                self._request_evidence(job, inquiry)
--- a/runcourse/core/context.py
+++ b/runcourse/core/context.py
@@ -1,4 +1,4 @@
-"""What every module of the core shares: settings, the present instant and the outbox."""
+"""State that all modules of the core share: settings, the present instant and the outbox."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from .ids import START, Instant, Member, ShareNo
 from .types import Log
 
-CLOCK_DRIFT = 0.002  # steady clocks differ by at most 0.05 % from each other; taken four times over
+CLOCK_DRIFT = 0.002  # fraction; four times the 0.05 % by which steady clocks differ at most
+WORKER_LEASE_MARGIN_S = 0.25
 
 
 @dataclass(slots=True)
@@ -35,22 +36,22 @@
 
     @property
     def majority(self) -> int:
-        """How many nodes are more than half of all."""
+        """Returns the least number of nodes that is more than half of all."""
         return len(self.members) // 2 + 1
 
     def home(self, share: ShareNo) -> Member:
-        """The member that owns the share when all are up."""
+        """Returns the member that owns the share while all members are up."""
         return self.members[share]
 
     @property
     def lease_s(self) -> float:
-        """How long a worker may go on after the last answer it got, seen from here."""
-        return self.platform.settings.workers.lease_s * (1 + CLOCK_DRIFT) + 0.25
+        """Returns how many seconds a worker may go on after its last answer, by this clock."""
+        return self.platform.settings.workers.lease_s * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_S
 
     def emit(self, effect: Any) -> None:
-        """Have an effect carried out once the present input is handled."""
+        """Queues an effect, which is carried out once the present input is handled."""
         self.effects.append(effect)
 
     def log(self, level: str, text: str) -> None:
-        """Have a line logged."""
+        """Queues a log line; `level` is debug, info, warning or error."""
         self.emit(Log(level, text))
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -1,4 +1,4 @@
-"""Finished tasks on their way into the state service."""
+"""Storing of finished tasks in the state service."""
 
 from __future__ import annotations
 
@@ -14,62 +14,68 @@
 from .types import Condition, Write
 from .work import Work
 
-FLUSH_GAP_S = 1.0  # between two stored changes of one job that do not complete it, at the least
-FLUSH_PART = 0.5  # of the rate of changes, that those take at the most
+FLUSH_GAP_S = 1.0  # minimum between two changes of one job that do not complete it
+FLUSH_RATE_FRACTION = 0.5  # of the rate of changes, for changes that do not complete a job
 RETRY_STORE_S = 0.3  # after a change that was not stored
-LOOK_AGAIN_S = 0.05  # while this node may not act for the share
-RETRY_REJECTED_S = 5.0  # after one that was too large
+RECHECK_S = 0.05  # while this node may not command the share's machines
+RETRY_REJECTED_S = 5.0  # after a change that was too large
+BYTES_PER_KB = 1024
 
 
 class Finishes:
-    """Stores finished tasks, many in one change."""
+    """Stores finished tasks, several of a job in one change."""
 
     def __init__(self, context: Context, store: Store, shares: Shares) -> None:
         self.context = context
         self.store = store
         self.shares = shares
         self._unstored: dict[JobId, Work] = {}
-        self._due: list[tuple[Instant, JobId]] = []  # heap of when to look at which job again
-        self._due_at: dict[JobId, Instant] = {}  # the one entry of each job that counts
-        self._small = False  # a page was too large for the state service
+        self._due: list[tuple[Instant, JobId]] = []  # heap of the times at which jobs are due
+        self._due_at: dict[JobId, Instant] = {}  # the valid entry of each job in `_due`
+        self._page_rejected = False  # the state service rejected a change as too large
 
     def add(self, work: Work, number: int) -> None:
-        """The task is finished and not stored yet."""
+        """Records a finished task that is not stored yet."""
         work.finished |= 1 << number
         self._unstored[work.job.uid] = work
         self._schedule(work)
 
     def drop(self, uid: JobId) -> None:
-        """The job needs no more stores from here."""
+        """Forgets a job whose finished tasks this node no longer stores."""
         self._unstored.pop(uid, None)
         self._due_at.pop(uid, None)
 
     def _schedule(self, work: Work) -> None:
-        """Look at the job when its next change is due; at once if it completes the job."""
+        """Schedules the job's next change; at once if it completes the job."""
         if work.flushing:
-            return  # scheduled when that is answered
+            return  # scheduled when the pending change is answered
         at = work.retry_at
-        if not self._complete(work):
+        if not self._is_complete(work):
             at = max(at, later(work.flushed_at, self._gap_s()))
-        self._look_at(work.job.uid, at)
+        self._schedule_at(work.job.uid, at)
 
     def _gap_s(self) -> float:
-        """Many jobs at once store their finishes less often, or nothing else could be stored. What
-        waits holds no room, and the workers still list it."""
-        return max(FLUSH_GAP_S, len(self._unstored) / (FLUSH_PART * self.store.max_changes(1.0)))
+        """Returns the minimum seconds between two changes of one job.
 
-    def _look_at(self, uid: JobId, at: Instant) -> None:
+        It grows with the number of jobs, so that other changes can be stored too. Finished tasks
+        that wait to be stored hold no resources, and their workers still list them.
+        """
+        return max(
+            FLUSH_GAP_S, len(self._unstored) / (FLUSH_RATE_FRACTION * self.store.max_changes(1.0))
+        )
+
+    def _schedule_at(self, uid: JobId, at: Instant) -> None:
         if at < self._due_at.get(uid, FAR_FUTURE):
             self._due_at[uid] = at
             heapq.heappush(self._due, (at, uid))
 
     @staticmethod
-    def _complete(work: Work) -> bool:
-        """Are all tasks of the job finished?"""
+    def _is_complete(work: Work) -> bool:
+        """Returns whether all tasks of the job are finished."""
         return (work.job.done_bits | work.finished).bit_count() >= work.job.spec.tasks
 
     def flush(self) -> None:
-        """Store what is due."""
+        """Stores the finished tasks of jobs that are due."""
         now = self.context.now
         while self._due and self._due[0][0] <= now:
             at, uid = heapq.heappop(self._due)
@@ -80,12 +86,12 @@
             if work is None or work.flushing:
                 continue
             if self.shares.may_command(work.share):
-                self.store_finished(work, self._complete(work))
+                self.store_finished(work, self._is_complete(work))
             else:
-                self._look_at(uid, later(now, LOOK_AGAIN_S))
+                self._schedule_at(uid, later(now, RECHECK_S))
 
     def store_finished(self, work: Work, complete: bool) -> None:
-        """Store finished tasks of the job; `complete`: all of them are."""
+        """Stores finished tasks of the job; `complete`: all of its tasks are finished."""
         job = work.job
         bits = work.finished
         work.flushing = True
@@ -93,10 +99,10 @@
         key = JOB + job.uid
         when = [self.shares.guard(work.share), Condition(key, job.stamp)]
         then: list[Write] = []
-        if complete:  # says of every task that it is done: no page need say it too
+        if complete:  # the stage covers every task, so no pages are needed
             then.append(Write(key, final_value(job.spec, "done", self.context.limits.value_bytes)))
         else:
-            bits = self._pages(job, bits, when, then)
+            bits = self._add_pages(job, bits, when, then)
 
         def done(result: CommitResult, stamp: Stamp) -> None:
             work.flushing = False
@@ -105,7 +111,7 @@
                 if not work.finished and self._unstored.get(job.uid) is work:
                     del self._unstored[job.uid]
             elif result is CommitResult.REJECTED:
-                self._small = True
+                self._page_rejected = True
                 work.retry_at = Instant(self.context.now + RETRY_REJECTED_S)
             else:
                 work.retry_at = Instant(self.context.now + RETRY_STORE_S)
@@ -114,47 +120,59 @@
 
         self.store.commit(when, then, done)
 
-    def _pages(
+    def _add_pages(
         self,
         job: Job,
         bits: int,
         when: list[Condition],
         then: list[Write],
     ) -> int:
-        """Adds what stores these finishes, as many as go into a transaction; returns which. Pages
-        that grow too large go on in parts: what a page holds already stays where it is."""
+        """Adds the conditions and writes that store finished tasks, as many as fit a transaction.
+
+        Returns the bits of the tasks that they store. A page that grows too large is continued in
+        parts; tasks that are stored in the page already stay there.
+        """
         stored = 0
-        n = 0
-        while bits >> (n * PAGE_BITS):
-            start = n * PAGE_BITS
-            here = bits & (((1 << PAGE_BITS) - 1) << start)
-            n += 1
-            if not here:
+        number = 0
+        while bits >> (number * PAGE_BITS):
+            start = number * PAGE_BITS
+            page_bits = bits & (((1 << PAGE_BITS) - 1) << start)
+            number += 1
+            if not page_bits:
                 continue
-            value = job.page(n - 1, here)
-            if not self._in_parts(value):
-                pieces = [(f"{DONE}{job.uid}/{n - 1}", value, here)]
+            value = job.page(number - 1, page_bits)
+            if not self._needs_parts(value):
+                pieces = [(f"{DONE}{job.uid}/{number - 1}", value, page_bits)]
             else:
                 pieces = []
-                for k in range(start // PART_BITS, (start + PAGE_BITS) // PART_BITS):
-                    part = here & (((1 << PART_BITS) - 1) << (k * PART_BITS))
-                    if part:
-                        pieces.append((f"{PART}{job.uid}/{k}", job.page(k, part, PART_BITS), part))
-            for page, value, part in pieces:
+                for index in range(start // PART_BITS, (start + PAGE_BITS) // PART_BITS):
+                    part_bits = page_bits & (((1 << PART_BITS) - 1) << (index * PART_BITS))
+                    if part_bits:
+                        pieces.append(
+                            (
+                                f"{PART}{job.uid}/{index}",
+                                job.page(index, part_bits, PART_BITS),
+                                part_bits,
+                            )
+                        )
+            for page, value, part_bits in pieces:
                 if len(then) >= self.context.limits.txn_ops:
                     return stored
-                # A change without an answer may be carried out after newer ones, and would
-                # take back what they stored: the page's version makes it fail.
+                # A change without an answer may be carried out after newer ones and would undo
+                # them: the condition on the page's stamp makes it fail.
                 when.append(self.store.expect(page))
                 then.append(Write(page, value))
-                stored |= part
+                stored |= part_bits
         return stored
 
-    def _in_parts(self, page: PageValue) -> bool:
-        """The former version reads no parts, and would start anew what they say is done: while it
-        may be there, pages are as large as the state service takes."""
+    def _needs_parts(self, page: PageValue) -> bool:
+        """Returns whether a page must be stored in parts.
+
+        The former version reads no parts, and would start the tasks again that are finished in
+        them. While a member may run it, pages are as large as the state service accepts.
+        """
         size = json_size(page)
         if size <= self.context.limits.value_bytes:
             return False
-        most = self.context.platform.settings.state.value_kb * 1024
-        return self._small or size > most or self.store.get(FORMAT) is not None
+        max_bytes = self.context.platform.settings.state.value_kb * BYTES_PER_KB
+        return self._page_rejected or size > max_bytes or self.store.get(FORMAT) is not None
--- a/runcourse/core/ids.py
+++ b/runcourse/core/ids.py
@@ -1,4 +1,4 @@
-"""Ids, versions and times as small types of their own."""
+"""Types of ids, revisions and instants."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 ShareNo = NewType("ShareNo", int)
 Stamp = NewType("Stamp", int)  # revision of a key's latest change; 0: the key does not exist
-Token = NewType("Token", int)  # fencing token towards one worker
+Token = NewType("Token", int)  # fencing token of the commands to one worker
 Attempt = NewType("Attempt", int)
 Session = NewType("Session", int)
 
 Instant = NewType("Instant", float)  # seconds on this process's steady clock
 
-COUNTER_BITS = 20
+COUNTER_BITS = 20  # low bits of a token or attempt; the epoch is above them
+PARSED_TASKS_CACHED = 16384
 ABSENT = Stamp(0)
 NO_TOKEN = Token(0)
 START = Instant(0.0)
@@ -28,7 +29,7 @@
 
 
 class TaskId(NamedTuple):
-    """Task 3 of job j-000412 is written j-000412/3."""
+    """The id of a task. Task 3 of job j-000412 is written j-000412/3."""
 
     job: JobId
     number: int
@@ -37,9 +38,9 @@
         return f"{self.job}/{self.number}"
 
 
-@lru_cache(maxsize=16384)  # each report lists what the one before did, mostly
+@lru_cache(maxsize=PARSED_TASKS_CACHED)  # consecutive reports list mostly the same tasks
 def parse_task(text: str) -> TaskId:
-    """The id that a text stands for; raises ValueError."""
+    """Returns the task id in a text; raises ValueError if it is none."""
     job, _, index = text.rpartition("/")
     if not job or not index.isdigit():
         raise ValueError(f"not a task id: {text!r}")
@@ -47,27 +48,33 @@
 
 
 def make_token(epoch: Stamp, counter: int) -> Token:
-    """A later epoch outranks an earlier one, see `highest_epoch`."""
+    """Returns a token. Tokens of a later epoch are higher, see `highest_epoch`."""
     return Token((epoch << COUNTER_BITS) + counter)
 
 
 def make_attempt(epoch: Stamp, counter: int) -> Attempt:
-    """Unique and rising with nothing stored: the epoch comes from the state service."""
+    """Returns an attempt number, unique and rising because its epoch is a stored revision.
+
+    No counter needs to be stored.
+    """
     return Attempt((epoch << COUNTER_BITS) + counter)
 
 
 def highest_epoch(epoch: Stamp, counter: int) -> Stamp:
-    """The epoch that a counter reaches into. A counter beyond its bits is carried into the
-    epoch; numbers stay unique and ordered as long as this is a revision that exists already,
-    since whoever owns the share or machine next gets a later one."""
+    """Returns the epoch of a number after the carry of its counter.
+
+    A counter that exceeds its bits is carried into the epoch. Numbers stay unique and ordered as
+    long as the result is a revision that exists already, because the next owner of the share or
+    machine gets a later one.
+    """
     return Stamp(epoch + (counter >> COUNTER_BITS))
 
 
 def creation_order(machine: MachineId) -> tuple[int, str]:
-    """Sorts machines by age. Names are numbered, and one digit more is a later name."""
+    """Returns a sort key by age. Names are numbered, and a longer name is a later one."""
     return len(machine), machine
 
 
 def later(at: Instant, seconds: float) -> Instant:
-    """The instant some seconds later."""
+    """Returns the instant `seconds` after `at`."""
     return Instant(at + seconds)
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -16,17 +16,18 @@
 
 JOB = "rc/job/"
 DONE = "rc/done/"  # pages of finished tasks
-PART = "rc/part/"  # as DONE, in smaller pieces
+PART = "rc/part/"  # parts of such pages, where a page is too large for a value
 PAGE_BITS = 16384  # finished tasks per stored page: 4 KiB of hexadecimal digits
-PART_BITS = 4096  # and per part, where a page is more than the state service takes
-STAGE_ROOM = 80  # bytes by which a job's value may grow after its acceptance
+PART_BITS = 4096  # finished tasks per part, where a page is too large for the state service
+STAGE_GROWTH_BYTES = 80  # by which a job's value may grow after its acceptance
+DIGEST_BYTES = 16
 MAX_TASKS = 100_000
 RANKS = {"prod": 0, "urgent": 1, "normal": 2, "idle": 3}
 UID = re.compile(r"j-[0-9]{1,18}\Z", re.ASCII)
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """A submission, in the field's own terms."""
+    """A submission, with the names of the core for the fields of `wire.messages`."""
 
     uid: str
     lane: str
@@ -52,7 +53,7 @@
 
     @property
     def size(self) -> Size:
-        """What one task takes."""
+        """Returns the resources that one task takes."""
         return Size(self.cpus, self.memory, self.gpus)
 
 
@@ -64,13 +65,13 @@
 
 
 class PageValue(msgspec.Struct, frozen=True):
-    """A page or part of a job's finished tasks as it is stored: bits in hexadecimal digits."""
+    """A stored page or part of a job's finished tasks: one bit a task, in hexadecimal digits."""
 
     bits: str
 
 
 class Job:
-    """One accepted job: what the state service says of it."""
+    """One accepted job, as the state service holds it."""
 
     __slots__ = (
         "accepted",
@@ -92,58 +93,57 @@
         self.stage = "accepted"
         self.stamp = stamp
         self.accepted = stamp  # revision of its acceptance
-        self.cancelled = ABSENT  # revision of its cancellation, once that was read
-        self.submitted = 0.0  # this node's steady clock, first sight
-        self.done_bits = 0
+        self.cancelled = ABSENT  # revision of its cancellation, once a read returned it
+        self.submitted = 0.0  # when this node first read the job, on its steady clock
+        self.done_bits = 0  # one bit for each task that is stored as finished
         self.done_count = 0
 
     @property
     def final(self) -> bool:
-        """Is it done or cancelled?"""
+        """Returns whether the job is done or cancelled."""
         return self.stage != "accepted"
 
     def is_done(self, index: int) -> bool:
-        """Is the task stored as finished?"""
+        """Returns whether the task is stored as finished."""
         return bool(self.done_bits >> index & 1)
 
     def page(self, number: int, extra: int, length: int = PAGE_BITS) -> PageValue:
-        """The stored form of one page of finished tasks, `extra` included."""
+        """Returns the stored form of one page of finished tasks, with those of `extra` added."""
         mask = (1 << length) - 1
         bits = ((self.done_bits | extra) >> (number * length)) & mask
         return PageValue(f"{bits:x}")
 
     def add_done(self, bits: int) -> None:
-        """Count finished tasks, given as bits."""
+        """Adds finished tasks, given as bits."""
         self.done_bits |= bits
         self.done_count = self.done_bits.bit_count()
 
 
 class Jobs:
-    """The table of all jobs. Fed only by what the state service holds."""
+    """The table of all jobs, filled only with what the state service holds."""
 
     def __init__(self) -> None:
         self._jobs: dict[JobId, Job] = {}
         self._open: dict[JobId, Job] = {}
-        self._open_task_sizes: Counter[tuple[str, float]] = (
-            Counter()
-        )  # jobs by team and a task's CPUs
-        self._early_pages: dict[JobId, int] = {}
+        # The number of open jobs, by their team and the CPUs of one task.
+        self._open_task_sizes: Counter[tuple[str, float]] = Counter()
+        self._early_pages: dict[JobId, int] = {}  # finished tasks of jobs that were not read yet
         self._cancelled: list[tuple[Stamp, JobId]] = []
-        self._told: dict[JobId, None] = {}  # cancellations that peers know of, not read yet
+        self._reported_cancelled: dict[JobId, None] = {}  # by peers, not read yet
 
     def get(self, uid: JobId) -> Job | None:
-        """The job, if it is known."""
+        """Returns the job, or None if it is not known."""
         return self._jobs.get(uid)
 
     def __len__(self) -> int:
         return len(self._jobs)
 
     def open_jobs(self) -> Collection[Job]:
-        """Jobs that are neither done nor cancelled."""
+        """Returns the jobs that are neither done nor cancelled."""
         return self._open.values()
 
     def apply_job(self, uid: JobId, value: JobValue, stamp: Stamp, now: float) -> Job:
-        """Take what the state service holds of a job."""
+        """Applies the stored value of a job."""
         job = self._jobs.get(uid)
         if job is None:
             job = Job(value.spec, stamp)
@@ -151,13 +151,13 @@
             job.add_done(self._early_pages.pop(uid, 0))
             self._jobs[uid] = job
         if value.stage == "cancelled":
-            insort(self._cancelled, (stamp, uid))  # a first read brings them by name
-            self._told.pop(uid, None)
+            insort(self._cancelled, (stamp, uid))  # a first read is sorted by name, not by revision
+            self._reported_cancelled.pop(uid, None)
             job.cancelled = stamp
-        # A job that is done or cancelled stays so, whatever order news arrives in.
+        # A job that is done or cancelled stays so, whatever the order in which values arrive.
         if not job.final:
             # What a peer read before this node read the job at all is not forgotten.
-            job.stage = "cancelled" if uid in self._told else value.stage
+            job.stage = "cancelled" if uid in self._reported_cancelled else value.stage
             if job.final:
                 self._close(job)
             elif uid not in self._open:
@@ -167,16 +167,19 @@
         return job
 
     def cancelled_since(self, stamp: Stamp) -> list[JobId]:
-        """Whose cancellation was stored after that revision, as far as is known here."""
+        """Returns the jobs that are known to have been cancelled after that revision."""
         first = bisect_right(self._cancelled, stamp, key=lambda entry: entry[0])
-        return [uid for _, uid in self._cancelled[first:]] + list(self._told)
+        return [uid for _, uid in self._cancelled[first:]] + list(self._reported_cancelled)
 
     def cancel(self, uid: JobId) -> Job | None:
-        """A peer knows of a stored cancellation that no read has brought yet. The job's
-        version stays, so that a change based on it fails. None: nothing new."""
+        """Applies a stored cancellation that a peer reported and no read has returned yet.
+
+        The job's stamp stays, so that a change based on it fails. Returns the job, or None if it
+        is not known or was done or cancelled already.
+        """
         job = self._jobs.get(uid)
         if job is None or not job.final:
-            self._told[uid] = None
+            self._reported_cancelled[uid] = None
         if job is None or job.final:
             return None
         job.stage = "cancelled"
@@ -191,11 +194,11 @@
                 del self._open_task_sizes[kind]
 
     def open_task_sizes(self) -> Collection[tuple[str, float]]:
-        """Each team with an open job, and the CPUs of one of its tasks, once for each number."""
+        """Returns the distinct pairs of a team and the CPUs of one task, over all open jobs."""
         return self._open_task_sizes.keys()
 
     def apply_page(self, uid: JobId, page: int, value: PageValue, length: int = PAGE_BITS) -> None:
-        """Take a page of finished tasks, of `length` tasks each."""
+        """Applies a stored page of finished tasks; a page holds `length` tasks."""
         bits = int(value.bits, 16) << (page * length)
         job = self._jobs.get(uid)
         if job is None:
@@ -205,16 +208,19 @@
 
 
 def name_digest(name: str) -> str:
-    """Stands for a name that only has to be told from others."""
-    return "~" + hashlib.blake2b(name.encode(), digest_size=16).hexdigest()
+    """Returns a short digest that replaces a name that only needs to be distinct."""
+    return "~" + hashlib.blake2b(name.encode(), digest_size=DIGEST_BYTES).hexdigest()
+
 
+def fit_spec(spec: JobSpec, types: Collection[str], max_bytes: int) -> JobSpec | None:
+    """Returns the submission as it fits into a value of `max_bytes`, or None if it cannot.
 
-def fit_spec(spec: JobSpec, types: Collection[str], most: int) -> JobSpec | None:
-    """The submission as it fits a value of `most` bytes; None: it can't. Types that there are
-    none of, and long names that only have to be told apart, can go."""
+    If necessary, types that do not exist are removed, and long names that only need to be
+    distinct are replaced by digests.
+    """
 
     def fits(spec: JobSpec) -> bool:
-        return json_size(job_value(spec, "accepted")) + STAGE_ROOM <= most
+        return json_size(job_value(spec, "accepted")) + STAGE_GROWTH_BYTES <= max_bytes
 
     if not fits(spec) and spec.types is not None:
         spec = msgspec.structs.replace(spec, types=tuple(t for t in spec.types if t in types))
@@ -225,11 +231,13 @@
 
 
 def job_value(spec: JobSpec, stage: str) -> JobValue:
-    """A job as it is stored."""
+    """Returns a job as it is stored."""
     return JobValue(spec, stage)
 
 
-def final_value(spec: JobSpec, stage: str, most: int) -> JobValue:
-    """Of a job that needs no machines any more. What the former version stored may be larger than
-    the state service takes by now."""
-    return job_value(fit_spec(spec, (), most) or spec, stage)
+def final_value(spec: JobSpec, stage: str, max_bytes: int) -> JobValue:
+    """Returns the stored form of a job that needs no machines any more.
+
+    What the former version stored may be larger than the state service accepts now.
+    """
+    return job_value(fit_spec(spec, (), max_bytes) or spec, stage)
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -1,4 +1,4 @@
-"""Who owns which share: the table of owners, taking over, giving back.
+"""Ownership of shares: the table of owners, takeover and handover.
 
 There are as many shares as nodes, and each has a home node. The stamp of `share/N` is the
 ownership epoch: every write of an owner has it among its conditions.
@@ -30,31 +30,36 @@
 from .stored_values import LIVE, MAPPING, SHARE, MappingValue, ShareValue
 from .types import Condition, Write
 
-HANDBACK_AFTER_S = 6.0  # a returned home node must have been up this long
-HANDBACK_AT_LAST_S = 60.0  # silent machines put it off no longer
+HANDBACK_AFTER_S = 6.0  # for which the home node must have been up, and this node the owner
+HANDBACK_DEADLINE_S = 60.0  # after which silent machines no longer delay the handover
+TAKE_UNOWNED_AFTER_S = 3  # by a node other than the home node
+TAKEOVER_STAGGER_S = 0.3  # between the attempts of two nodes to take over a share
 
 
 class Holding:
     """A share that this node owns."""
 
-    __slots__ = ("_attempts", "epoch", "giving", "number", "settled", "since")
+    __slots__ = ("_attempts", "epoch", "handing_back", "number", "settled", "since")
 
     def __init__(self, number: ShareNo, epoch: Stamp, since: Instant) -> None:
         self.number = number
         self.epoch = epoch
         self.since = since
         self.settled = False  # every task accepted before the takeover is located
-        self.giving = False  # being handed back: command nothing until that is decided
+        self.handing_back = False  # its machines get no commands until that is decided
         self._attempts = 0
 
     def next_attempt(self) -> Attempt:
-        """An attempt number that was never used before."""
+        """Returns an attempt number that was never used before."""
         self._attempts += 1
         return make_attempt(self.epoch, self._attempts)
 
     def has_attempt_numbers(self, count: int, applied: Stamp) -> bool:
-        """Are there attempt numbers for so many starts? Beyond the counter's bits they are
-        carried into the epoch, and must not reach a revision that a later owner may get."""
+        """Returns whether attempt numbers remain for `count` starts.
+
+        A counter that exceeds its bits is carried into the epoch, which must not reach a revision
+        that a later owner may get as its epoch.
+        """
         return highest_epoch(self.epoch, self._attempts + count) <= applied
 
 
@@ -75,26 +80,33 @@
         self.owned: dict[ShareNo, Holding] = {}
         self._on_gain = on_gain
         self._on_loss = on_loss
-        self._taking: set[ShareNo] = set()
-        self._former: dict[ShareNo, Member] = {}  # whose shares are being taken over
-        self._dealt: dict[Team, ShareNo] = {}
-        self._gone_since: dict[ShareNo, Instant] = {}
-        self._home_since: dict[Member, tuple[Incarnation, Instant]] = {}
-        self.team_order: Callable[[int], list[str]] = lambda shares: []  # set by the node
-        self.all_heard: Callable[[ShareNo], bool] = lambda share: True  # set by the node
+        self._takeovers_pending: set[ShareNo] = set()  # requested, not answered yet
+        self._former_owner: dict[ShareNo, Member] = {}  # of a share being taken over
+        self._share_by_team: dict[Team, ShareNo] = {}
+        self._ownerless_since: dict[ShareNo, Instant] = {}
+        self._live_since: dict[Member, tuple[Incarnation, Instant]] = {}
+        # Both are set by the node. The first returns the teams in the order in which they are
+        # assigned to the given number of shares; empty: the order of their names. The second
+        # returns whether all machines of a share report.
+        self.team_order: Callable[[int], list[str]] = lambda shares: []
+        self.all_heard: Callable[[ShareNo], bool] = lambda share: True
         store.listen(SHARE, self._changed)
         store.listen(MAPPING, self._mapping_changed)
 
     def all(self) -> list[ShareNo]:
-        """The numbers of all shares."""
+        """Returns the numbers of all shares."""
         return [ShareNo(n) for n in range(len(self.context.members))]
 
-    # --- teams to shares -----------------------------------------------------------------
+    # --- assignment of teams to shares ---------------------------------------------------
 
     def of_team(self, team: Team) -> ShareNo:
-        """The names in the store were dealt round the shares: evenly, where a hash of few
-        names leaves some shares with many and some with none. Any other name is hashed."""
-        share = self._dealt.get(team)
+        """Returns the share of a team.
+
+        Teams named in the stored mapping are assigned to the shares in turn. This is even, where
+        a hash of few names leaves some shares with many teams and some with none. All other names
+        are hashed.
+        """
+        share = self._share_by_team.get(team)
         return (
             ShareNo(zlib.crc32(team.encode()) % len(self.context.members))
             if share is None
@@ -103,14 +115,16 @@
 
     def _mapping_changed(self, key: str, value: Any, stamp: Stamp) -> None:
         names = value.dealt if value else ()
-        self._dealt = {
+        self._share_by_team = {
             Team(str(name)): ShareNo(n % len(self.context.members)) for n, name in enumerate(names)
         }
 
     def _mapping(self) -> tuple[list[Condition], list[Write]]:
-        """Conditions and change with which the first share taken fixes the dealing: a team
-        must have one share only, whatever settings a node was started with later. A store
-        whose shares were taken without one goes on with hashes."""
+        """Returns the conditions and writes that store the mapping with the first share taken.
+
+        A team must have one share only, whatever settings a node is started with later. A store
+        whose shares were taken without a mapping keeps to hashes.
+        """
         if self.store.get(MAPPING) is not None:
             return [self.store.expect(MAPPING)], []
         if any(self.owner(share) is not None for share in self.all()):
@@ -119,43 +133,43 @@
             team.name for team in self.context.platform.settings.teams
         )
         if json_size(MappingValue(names)) > self.context.limits.value_bytes:
-            names = []  # more than a value holds: hashes for all
+            names = []  # too large for a value: all names are hashed
         return [Condition(MAPPING, ABSENT)], [Write(MAPPING, MappingValue(names))]
 
     # --- owners --------------------------------------------------------------------------
 
     def key(self, share: ShareNo) -> str:
-        """The stored key of the share."""
+        """Returns the stored key of the share."""
         return f"{SHARE}{share}"
 
     def owner(self, share: ShareNo) -> tuple[Member, Incarnation] | None:
-        """The member and incarnation that owns the share, whether it lives or not."""
+        """Returns the member and incarnation that owns the share, even if its lease ended."""
         value = self.store.get(self.key(share))
         return (value.owner, value.incarnation) if value else None
 
     def living_owner(self, share: ShareNo) -> Member | None:
-        """The owner, if its lease stands."""
+        """Returns the owner if its lease is valid, or None."""
         owner = self.owner(share)
         if owner and self.authority.live_incarnation(owner[0]) == owner[1]:
             return owner[0]
         return None
 
     def live_since(self, member: Member) -> Instant:
-        """When the member's present process was first seen to have a lease."""
-        return self._home_since.get(member, (None, LONG_AGO))[1]
+        """Returns when the member's present process was first seen to have a lease."""
+        return self._live_since.get(member, (None, LONG_AGO))[1]
 
     def guard(self, share: ShareNo) -> Condition:
-        """The condition that makes a late transaction of a former owner fail."""
+        """Returns the condition that makes a late transaction of a former owner fail."""
         return Condition(self.key(share), self.owned[share].epoch)
 
     def may_command(self, share: ShareNo) -> bool:
-        """May this node command the share's machines now?"""
+        """Returns whether this node may command the share's machines now."""
         holding = self.owned.get(share)
-        # Its transaction succeeded before this node had read everything up to it: what was
+        # The takeover may succeed before this node has read everything up to its revision. Jobs
         # cancelled until then must be known before anything is answered or commanded.
         return (
             holding is not None
-            and not holding.giving
+            and not holding.handing_back
             and self.store.applied >= holding.epoch
             and self.authority.entitled()
         )
@@ -165,21 +179,21 @@
     def _changed(self, key: str, value: Any, stamp: Stamp) -> None:
         share = ShareNo(int(key[len(SHARE) :]))
         holding = self.owned.get(share)
-        ours = (
+        owned_here = (
             value is not None
             and value.owner == self.context.me
             and value.incarnation == self.authority.incarnation
             and self.authority.live
         )
-        if holding is not None and (not ours or stamp > holding.epoch):
+        if holding is not None and (not owned_here or stamp > holding.epoch):
             del self.owned[share]
             self.context.log("info", f"share {share} lost at epoch {stamp}")
             self._on_loss(share)
             holding = None
-        if ours and holding is None:
+        if owned_here and holding is None:
             holding = Holding(share, stamp, self.context.now)
             self.owned[share] = holding
-            former = self._former.pop(share, None)
+            former = self._former_owner.pop(share, None)
             taken = f", taken over from {former}, whose lease ended" if former else ""
             self.context.log("info", f"share {share} owned, epoch {stamp}{taken}")
             self._on_gain(holding)
@@ -187,20 +201,20 @@
                 self.store.sync()
 
     def drop_all(self) -> None:
-        """Authority is lost: nothing is owned any more."""
+        """Drops all owned shares, because the authority is lost."""
         for share in list(self.owned):
             del self.owned[share]
             self._on_loss(share)
-        self._taking.clear()
+        self._takeovers_pending.clear()
 
     def _take(self, share: ShareNo, conditions: list[Condition]) -> None:
-        if share in self._taking:
+        if share in self._takeovers_pending:
             return
-        self._taking.add(share)
+        self._takeovers_pending.add(share)
         key = self.key(share)
-        fixed, fixing = self._mapping()
+        mapping_conditions, mapping_writes = self._mapping()
         when = [
-            *fixed,
+            *mapping_conditions,
             self.store.expect(key),
             self.store.expect(LIVE + self.context.me),
             *conditions,
@@ -208,52 +222,52 @@
         value = ShareValue(self.context.me, self.authority.incarnation)
         self.store.commit(
             when,
-            [*fixing, Write(key, value)],
-            lambda result, stamp: self._taking.discard(share),
+            [*mapping_writes, Write(key, value)],
+            lambda result, stamp: self._takeovers_pending.discard(share),
             Store.URGENT,
         )
 
     def tick(self) -> None:
-        """Take over what has no owner, and hand back what has its home node again."""
+        """Takes over shares without a live owner, and hands shares back to their home nodes."""
         if not self.authority.live or self.context.now >= self.authority.until:
             return
         for member in self.context.members:
             incarnation = self.authority.live_incarnation(member)
             if incarnation is None:
-                self._home_since.pop(member, None)
-            elif self._home_since.get(member, (None,))[0] != incarnation:
-                self._home_since[member] = (incarnation, self.context.now)
+                self._live_since.pop(member, None)
+            elif self._live_since.get(member, (None,))[0] != incarnation:
+                self._live_since[member] = (incarnation, self.context.now)
         for share in self.all():
             if share not in self.owned:
-                self._consider(share)
+                self._consider_takeover(share)
             else:
                 self._consider_handback(share)
 
-    def _consider(self, share: ShareNo) -> None:
+    def _consider_takeover(self, share: ShareNo) -> None:
         owner = self.owner(share)
         home = self.context.home(share)
         now = self.context.now
         if owner is None:
-            # Never owned: its home takes it at once, anybody after a while.
-            waited = now - self._gone_since.setdefault(share, now)
+            # Never owned: the home node takes it at once, other nodes after a delay.
+            waited = now - self._ownerless_since.setdefault(share, now)
             if home == self.context.me or (
-                waited > 3 and self.authority.live_incarnation(home) is None
+                waited > TAKE_UNOWNED_AFTER_S and self.authority.live_incarnation(home) is None
             ):
                 self._take(share, [])
             return
         member, incarnation = owner
         if member == self.context.me:
-            # The process that wrote this under our name is dead, or it was this one before
-            # it lost its lease: no waiting.
+            # The process that wrote this as this member is dead, or it was this process before
+            # it lost its lease: there is no need to wait.
             if incarnation != self.authority.incarnation:
                 self._take(share, [])
             return
-        standing = self.authority.live_incarnation(member)
-        if standing is not None:
-            self._gone_since.pop(share, None)
+        present = self.authority.live_incarnation(member)
+        if present is not None:
+            self._ownerless_since.pop(share, None)
             return
-        since = self._gone_since.setdefault(share, now)
-        self.authority.saw_end(member, incarnation)
+        since = self._ownerless_since.setdefault(share, now)
+        self.authority.record_lease_end(member, incarnation)
         if not self.authority.attests(self.context.me, incarnation):
             return
         others = [
@@ -263,15 +277,18 @@
         ]
         if 1 + len(others) < self.context.majority:
             return
-        if now - since < 0.3 * self._turn(share, member):
+        if now - since < TAKEOVER_STAGGER_S * self._takeover_rank(share, member):
             return
-        self._former[share] = member
+        self._former_owner[share] = member
         conditions = [Condition(LIVE + member, ABSENT)]
         conditions += [self.store.expect(LIVE + m) for m in others]
         self._take(share, conditions)
 
-    def _turn(self, share: ShareNo, dead: Member) -> int:
-        """Order in which living nodes try, so that the load of a dead one is shared out."""
+    def _takeover_rank(self, share: ShareNo, dead: Member) -> int:
+        """Returns this node's place in the order in which live nodes try to take over the share.
+
+        Nodes that own fewer shares come first, so that the shares of a dead node are spread.
+        """
         living = [m for m in self.authority.live_members() if m != dead]
         if not living:
             return 0
@@ -286,25 +303,25 @@
     def _consider_handback(self, share: ShareNo) -> None:
         holding = self.owned[share]
         home = self.context.home(share)
-        if home == self.context.me or holding.giving or not holding.settled:
+        if home == self.context.me or holding.handing_back or not holding.settled:
             return
-        incarnation, since = self._home_since.get(home, (None, self.context.now))
+        incarnation, since = self._live_since.get(home, (None, self.context.now))
         if incarnation is None or self.context.now - since < HANDBACK_AFTER_S * (1 + CLOCK_DRIFT):
             return
         if self.context.now - holding.since < HANDBACK_AFTER_S:
             return
-        # Whoever takes it must locate its tasks anew, and would wait for each silent machine.
-        if not self.all_heard(share) and self.context.now - holding.since < HANDBACK_AT_LAST_S:
+        # The next owner must locate the share's tasks anew, and would wait for each silent machine.
+        if not self.all_heard(share) and self.context.now - holding.since < HANDBACK_DEADLINE_S:
             return
-        # From here until the answer nothing is commanded: once stored, the other commands.
-        holding.giving = True
+        # Nothing is commanded until the answer, because the home node commands once it is stored.
+        holding.handing_back = True
         self.context.log("info", f"share {share} handed back to {home}")
 
         def done(result: CommitResult, stamp: Stamp) -> None:
             if result in (CommitResult.CONFLICT, CommitResult.REFUSED):
-                holding.giving = False
+                holding.handing_back = False
             elif result is CommitResult.UNKNOWN:
-                self._settle_unknown(holding)
+                self._overwrite_handback(holding)
 
         self.store.commit(
             [self.guard(share), self.store.expect(LIVE + home)],
@@ -312,15 +329,16 @@
             done,
         )
 
-    def _settle_unknown(self, holding: Holding) -> None:
-        """The hand-back may yet be applied: write the share anew, so that it can't."""
+    def _overwrite_handback(self, holding: Holding) -> None:
+        """Writes the share anew after a handover without an answer, so that it can no longer be
+        applied."""
 
         def done(result: CommitResult, stamp: Stamp) -> None:
             if (
                 result in (CommitResult.UNKNOWN, CommitResult.REFUSED)
                 and holding.number in self.owned
             ):
-                self._settle_unknown(holding)
+                self._overwrite_handback(holding)
 
         if self.owned.get(holding.number) is holding:
             value = ShareValue(self.context.me, self.authority.incarnation)
--- a/runcourse/core/sizes.py
+++ b/runcourse/core/sizes.py
@@ -1,4 +1,4 @@
-"""How large a value is for the state service, which counts it in its JSON form."""
+"""Sizes of values for the state service, which counts their JSON form."""
 
 from __future__ import annotations
 
@@ -9,5 +9,8 @@
 
 
 def json_size(value: Any) -> int:
-    """No less than what any way of writing JSON takes: blanks, and escapes for all but ASCII."""
+    """Returns the size in bytes of a value in JSON, an upper bound of all ways of writing it.
+
+    It counts blanks, and escapes for all characters beyond ASCII.
+    """
     return len(json.dumps(msgspec.to_builtins(value)))
--- a/runcourse/core/stored_values.py
+++ b/runcourse/core/stored_values.py
@@ -1,7 +1,7 @@
 """The values kept in the state service, one typed struct for each kind of key.
 
-This module and the keys in `store` own the stored form. A new field must have a default, so that
-what a former version wrote stays readable, and unknown fields are ignored.
+This module and `jobs` define the stored form. A new field must have a default, so that values
+written by a former version stay readable; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -20,44 +20,44 @@
 SHARE = ROOT + "share/"
 MAPPING = ROOT + "mapping"
 MACHINE = ROOT + "machine/"
-FORMAT = ROOT + "format"  # what every member has been seen to read
-TYPES = ROOT + "types/"  # the catalogue, where one value doesn't hold it
+FORMAT = ROOT + "format"  # version of the formats that all members can read
+TYPES = ROOT + "types/"  # the catalogue, where it does not fit into one value
 CATALOG = ROOT + "catalog"
 DIVISION = ROOT + "division"  # of the fleet among organisations
 
-FORMER = 1  # the version of a member whose live key names none
+FIRST_VERSION = 1  # of a member whose live key names no version
 
 
 class LiveValue(Struct, frozen=True):
-    """A member's present process; attached to its lease."""
+    """A member's present process. The key is attached to the process's lease."""
 
     incarnation: Incarnation = field(name="inc")
-    gone: list[Incarnation] = []  # processes whose leases it saw end
-    version: int = FORMER  # of the formats that it reads and writes
+    gone: list[Incarnation] = []  # incarnations whose leases it saw end
+    version: int = FIRST_VERSION  # of the formats that it reads and writes
 
 
 class LeaderValue(Struct, frozen=True):
-    """Who leads; attached to its lease."""
+    """The leader. The key is attached to its lease."""
 
     member: Member
     incarnation: Incarnation = field(name="inc")
 
 
 class ShareValue(Struct, frozen=True):
-    """Who owns a share."""
+    """The owner of a share."""
 
     owner: Member
     incarnation: Incarnation = field(name="inc")
 
 
 class MappingValue(Struct, frozen=True):
-    """The teams that were dealt to the shares, in their order."""
+    """The teams assigned to the shares: the team at index n to share n modulo their number."""
 
     dealt: list[str]
 
 
 class MachineValue(Struct, frozen=True):
-    """A machine that may hold tasks."""
+    """A machine that may run tasks."""
 
     share: ShareNo
     type: str
@@ -67,28 +67,28 @@
 
 
 class GoneMachine(Struct, frozen=True):
-    """A machine that was returned: its id never comes again."""
+    """A machine that was returned to the cloud. Its id is never used again."""
 
     gone: bool = True
 
 
 class FormatValue(Struct, frozen=True):
-    """The version that every member has been seen to read."""
+    """The version of the stored formats that all members can read."""
 
     version: int
 
 
 class OrganisationLimits(Struct, frozen=True):
-    """What one organisation is entitled to, in CPUs."""
+    """The entitlement of one organisation; `minimum` and `maximum` are in CPUs."""
 
     name: str
     minimum: float = 0.0
     weight: float = 1.0
-    maximum: float | None = None  # None: no bound
+    maximum: float | None = None  # None: unlimited
 
 
 class Division(Struct, frozen=True):
-    """The limits of all organisations; version 0 is what the entitlements file says."""
+    """The limits of all organisations; version 0 is that of the entitlements file."""
 
     version: int
     limits: list[OrganisationLimits]
@@ -98,7 +98,7 @@
 
 
 class DivisionValue(Struct, frozen=True):
-    """The division in force and the last ones before it, the newest first."""
+    """The division in force and its latest predecessors, the newest first."""
 
     current: Division
     past: list[Division] = []
@@ -119,7 +119,10 @@
 
 
 def parse(key: str, value: Any) -> Any:
-    """The value of a key as its struct; values of other keys stay as they are."""
+    """Returns the value of a key as its struct, or unchanged if the key has no struct.
+
+    Raises msgspec.ValidationError for a value that does not fit the struct.
+    """
     if value is None or isinstance(value, Struct):
         return value
     for prefix, kind in _KINDS:
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -1,4 +1,4 @@
-"""Values that pass between the core and the world: inputs, effects and their parts."""
+"""Inputs and effects of the core, and their parts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class MachineType(NamedTuple):
-    """A type in the cloud's catalogue."""
+    """A machine type in the cloud's catalogue."""
 
     name: str
     cpus: float
@@ -41,7 +41,7 @@
 
     @property
     def size(self) -> Size:
-        """What a machine of the type holds."""
+        """Returns the resources of a machine of the type."""
         return Size(self.cpus, self.memory, self.gpus)
 
 
@@ -60,11 +60,11 @@
 # --- inputs ------------------------------------------------------------------------------
 
 
-LATE = "late"  # body of an Outcome: its `until` had passed, so it was not sent
+LATE = "late"  # body of the Outcome of an effect that was not sent because its `until` had passed
 
 
 class Submit(msgspec.Struct):
-    """`spec` is None when the submission is faulty: then `fault` says why."""
+    """A user submits a job. For a faulty submission, `spec` is None and `fault` says why."""
 
     request: int
     uid: str
@@ -73,7 +73,7 @@
 
 
 class Poll(msgspec.Struct):
-    """A user asks about a job."""
+    """A user requests the state of a job."""
 
     request: int
     uid: str
@@ -87,7 +87,7 @@
 
 
 class Health(msgspec.Struct):
-    """The load balancer asks whether this node can take requests."""
+    """The load balancer checks whether this node can take requests."""
 
     request: int
 
@@ -97,7 +97,7 @@
 
     request: int
     action: Literal["show", "preview", "apply", "rollback"]
-    expect: int | None = None  # the version that a change rests on
+    expect: int | None = None  # the version that a change is based on
     limits: list[OrganisationLimits] = []
     author: str = ""
     note: str = ""
@@ -105,7 +105,7 @@
 
 
 class ReportReceived(msgspec.Struct):
-    """A worker's report: received here, or passed on by a peer (`relayed_by`)."""
+    """A worker's report, received here or relayed by the peer `relayed_by`."""
 
     request: int
     report: Report
@@ -113,21 +113,22 @@
 
 
 class Tick(msgspec.Struct):
-    """Time has passed."""
+    """A periodic input that lets the core act on the passing of time."""
 
     pass
 
 
 class ReplacePolicySettings(msgspec.Struct):
-    """Operators changed the settings of the placement policy; they have been checked."""
+    """New settings of the placement policy, already validated."""
 
     settings: Any
 
 
 class Outcome(msgspec.Struct):
-    """The result of an effect that asked for one: `tag` is the effect's.
+    """The result of an effect, whose `tag` it carries.
 
-    status 0 with `sent` false: surely never sent; with `sent` true: fate unknown.
+    Status 0 means no answer: with `sent` false the request was certainly never sent, with `sent`
+    true it may have been carried out.
     """
 
     tag: Any
@@ -146,8 +147,8 @@
 
 # --- effects -----------------------------------------------------------------------------
 #
-# `until`: what rests on authority or on a read must not leave later than this. A process may
-# stand still between a decision and its leaving, while its clocks run on.
+# An effect that rests on authority or on a read must not leave the process after `until`. The
+# process may pause between a decision and the sending, while its clocks run on.
 
 
 class UserAnswer(msgspec.Struct):
@@ -161,18 +162,18 @@
 
 
 class DivisionAnswer(msgspec.Struct):
-    """The answer to an operator's request: what is in force, and what became of the request."""
+    """The answer to an operator's request: its result and the division in force."""
 
     request: int
     result: str  # ok, refused, unreachable, unknown
     reason: str
     division: Division | None
     past: list[Division]
-    targets: dict[str, float]  # CPUs by organisation, of a preview
+    targets: dict[str, float]  # CPUs by organisation, in the answer to a preview
 
 
 class ReportAnswer(msgspec.Struct):
-    """A report's answer: 200 with token and orders, 421 with the owner, or 503."""
+    """The answer to a report: 200 with token and orders, 421 with the owner, or 503."""
 
     request: int
     status: int
@@ -183,20 +184,20 @@
 
 
 class ReadAll(msgspec.Struct):
-    """Read everything from the state service."""
+    """Reads everything from the state service."""
 
     tag: Any
 
 
 class Follow(msgspec.Struct):
-    """Read the changes since a revision from the state service."""
+    """Reads the changes since a revision from the state service."""
 
     tag: Any
     since: int
 
 
 class Condition(NamedTuple):
-    """The version that a key must have; 0: it does not exist."""
+    """The stamp that a key must have; 0: the key must not exist."""
 
     key: str
     stamp: Stamp
@@ -211,7 +212,7 @@
 
 
 class Commit(msgspec.Struct):
-    """Atomic change, carried out if all conditions hold."""
+    """An atomic change, carried out if all conditions are met."""
 
     tag: Any
     when: list[Condition]
@@ -220,21 +221,21 @@
 
 
 class GrantLease(msgspec.Struct):
-    """Obtain a lease from the state service."""
+    """Obtains a lease from the state service."""
 
     tag: Any
     ttl_ms: int
 
 
 class ExtendLease(msgspec.Struct):
-    """Renew a lease."""
+    """Renews a lease."""
 
     tag: Any
     lease: int
 
 
 class Command(msgspec.Struct):
-    """Orders straight to a worker."""
+    """Sends orders directly to a worker."""
 
     tag: Any
     addr: str
@@ -245,26 +246,27 @@
 
 
 class Probe(msgspec.Struct):
-    """Ask a worker for its report: unlike a report that arrives, the answer is live."""
+    """Requests a report from a worker. Unlike a received report, the answer cannot be an old
+    one."""
 
     tag: Any
     addr: str
 
 
 class ReadCatalog(msgspec.Struct):
-    """Read the cloud's machine types."""
+    """Reads the cloud's machine types."""
 
     tag: Any
 
 
 class ListMachines(msgspec.Struct):
-    """Read the cloud's list of machines, all pages."""
+    """Reads all pages of the cloud's list of machines."""
 
     tag: Any
 
 
 class Rent(msgspec.Struct):
-    """Ask the cloud for machines; the name is never used again."""
+    """Rents machines from the cloud; the name of the request is never used again."""
 
     tag: Any
     name: str
@@ -275,21 +277,21 @@
 
 
 class Release(msgspec.Struct):
-    """Return machines to the cloud."""
+    """Returns machines to the cloud."""
 
     tag: Any
     machines: list[MachineId]
 
 
 class SendToPeer(msgspec.Struct):
-    """A message to one peer, or to all of them when `member` is None."""
+    """Sends a message to one peer, or to all peers if `member` is None."""
 
     member: Member | None
     message: PeerMessage
 
 
 class Log(msgspec.Struct):
-    """A line for the log."""
+    """Writes a line to the log."""
 
     level: str  # debug, info, warning, error
     text: str
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -1,6 +1,6 @@
-"""Submissions, polls and cancellations. Every node answers them itself, against the store.
+"""Submissions, polls and cancellations, which every node answers itself from the store.
 
-Whatever can't be answered now is refused at once, with the time to come back after.
+A request that cannot be answered now is refused at once, with the time after which to retry.
 """
 
 from __future__ import annotations
@@ -24,13 +24,15 @@
 from .stored_values import LIVE
 from .types import Cancel, Condition, Poll, SendToPeer, Submit, UserAnswer, Write
 
-GIVEN_UP_S = 3.0  # a change not sent by then has been refused to its user
-MAX_BACKLOG_S = 0.7  # changes waiting for the write budget
-FAIR_BACKLOG_S = 0.35  # beyond this, those of the team that has most of what waits
+CHANGE_DEADLINE_S = 3.0  # a change that is not sent within this time is refused
+MAX_BACKLOG_S = 0.7  # of changes that wait for the write budget; beyond it, submissions are refused
+FAIR_BACKLOG_S = 0.35  # beyond it, those of a team with more than half of what waits are refused
+RETRY_AFTER_S = 1.0  # sent with most refusals
+MAX_CANCEL_TRIES = 3
 
 
 class Users:
-    """Answers users on behalf of the whole service."""
+    """Answers the requests of users."""
 
     def __init__(
         self,
@@ -49,21 +51,27 @@
         self.jobs = jobs
         self.quota = quota
         self.fleet = fleet
-        self.running = PeerCounts()
+        self.running = PeerCounts()  # running tasks of jobs whose shares peers own
         self._creating: Counter[str] = Counter()  # submissions being stored, by team
-        self._waiting = 0  # questions waiting for one catch-up read
-        # A connection asks one thing at a time, so no more can wait than there are.
-        self._most_waiting = context.platform.settings.quota.sockets(len(context.members)).served
+        self._waiting_for_read = 0  # requests that wait for a catch-up read
+        # A connection has one request at a time, so no more can wait than there are connections.
+        self._max_waiting_for_read = context.platform.settings.quota.sockets(
+            len(context.members)
+        ).served
 
     # --- answers -------------------------------------------------------------------------
 
     def refuse(
-        self, request: int, status: int = 503, after: float = 1.0, why: str = "not now"
+        self,
+        request: int,
+        status: int = 503,
+        retry_after_s: float = RETRY_AFTER_S,
+        reason: str = "not now",
     ) -> None:
-        """Tell the user at once when to come back."""
-        self.context.emit(UserAnswer(request, status, {"error": why}, after))
+        """Refuses a request, and states after how many seconds the user should retry."""
+        self.context.emit(UserAnswer(request, status, {"error": reason}, retry_after_s))
 
-    def _state(self, job: Job) -> dict[str, Any]:
+    def _job_state(self, job: Job) -> dict[str, Any]:
         if job.final:
             done = job.spec.tasks if job.stage == "done" else job.done_count
             return job_state(job.uid, job.stage, done, 0)
@@ -77,25 +85,29 @@
         return job_state(job.uid, "running" if running else "queued", done, running)
 
     def _after_sync(self, request: int, then: Callable[[], None]) -> None:
-        """Run `then` once a catch-up read begun from now on has succeeded."""
-        if not self.store.ready or self.store.failing or self._waiting >= self._most_waiting:
-            self.refuse(request, 503, 1.0, "no contact with the state service")
+        """Runs `then` after a catch-up read begun from now on; refuses the request if it fails."""
+        if (
+            not self.store.ready
+            or self.store.failing
+            or self._waiting_for_read >= self._max_waiting_for_read
+        ):
+            self.refuse(request, 503, RETRY_AFTER_S, "no contact with the state service")
             return
-        self._waiting += 1
+        self._waiting_for_read += 1
 
         def waiter(ok: bool) -> None:
-            self._waiting -= 1
+            self._waiting_for_read -= 1
             if ok:
                 then()
             else:
-                self.refuse(request, 503, 1.0, "no contact with the state service")
+                self.refuse(request, 503, RETRY_AFTER_S, "no contact with the state service")
 
         self.store.sync(waiter)
 
     # --- polls ---------------------------------------------------------------------------
 
     def poll(self, ask: Poll) -> None:
-        """A user asks about a job."""
+        """Answers a user's request for the state of a job."""
         uid = JobId(ask.uid)
         if not UID.match(uid):
             self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
@@ -106,34 +118,42 @@
         def then() -> None:
             job = self.jobs.get(uid)
             if job is None:
-                self._by_read(ask.request, 404, {"error": "no such job"})
+                self._answer_from_read(ask.request, 404, {"error": "no such job"})
             else:
-                self._tell(ask.request, job)
+                self._answer_job(ask.request, job)
 
         self._after_sync(ask.request, then)
 
-    def _tell(self, request: int, job: Job) -> None:
+    def _answer_job(self, request: int, job: Job) -> None:
         if not self._answer_final(request, job.uid):
-            self._by_read(request, 200, self._state(job))
+            self._answer_from_read(request, 200, self._job_state(job))
+
+    def _answer_from_read(self, request: int, status: int, body: dict[str, Any]) -> None:
+        """Sends an answer that rests on the newest read.
 
-    def _by_read(self, request: int, status: int, body: dict[str, Any]) -> None:
-        """An answer that rests on the newest read: after a pause of this process another node
-        may have given a newer one, so then it must not leave."""
+        Its `until` keeps it from leaving after a pause of this process, during which another node
+        may have given a newer answer.
+        """
         self.context.emit(UserAnswer(request, status, body, until=self.store.fresh_until))
 
     def _answer_final(self, request: int, uid: JobId) -> bool:
-        """A final stage stands, whoever asks and whenever; that a job is cancelled is told on
-        every path (cancellation, poll, repeated submission) only once that is safe."""
+        """Answers a request if the job has a final stage; returns whether it has.
+
+        A final stage never changes, so this needs no read. On every path (cancellation, poll,
+        repeated submission) the answer that a job is cancelled waits until it is confirmed.
+        """
         job = self.jobs.get(uid)
         if job is None or not job.final:
             return False
-        state = self._state(job)
+        state = self._job_state(job)
 
-        def then(sure: bool) -> None:
-            if sure:
+        def then(confirmed: bool) -> None:
+            if confirmed:
                 self.context.emit(UserAnswer(request, 200, state))
             else:
-                self.refuse(request, 503, 1.0, "the cancellation is stored, not confirmed yet")
+                self.refuse(
+                    request, 503, RETRY_AFTER_S, "the cancellation is stored, not confirmed yet"
+                )
 
         if job.stage == "cancelled":
             self.confirmations.confirm(job, then)
@@ -144,49 +164,51 @@
     # --- submissions ---------------------------------------------------------------------
 
     def submit(self, ask: Submit) -> None:
-        """A user submits a job, perhaps again."""
+        """Handles a submission, which may be repeated."""
         uid = JobId(ask.uid)
         if uid and self._answer_final(ask.request, uid):
             return
         if not uid:
             self.context.emit(UserAnswer(ask.request, 400, {"error": ask.fault}))
         elif self.jobs.get(uid) is not None:
-            self._after_sync(ask.request, lambda: self._known(ask.request, uid))
+            self._after_sync(ask.request, lambda: self._answer_known(ask.request, uid))
         elif ask.spec is None:
-            # The id may be that of an accepted job: then the answer is its state.
-            self._verdict(ask.request, uid, 400, ask.fault)
+            # If the id is that of an accepted job, the answer is its state.
+            self._reject_unless_known(ask.request, uid, 400, ask.fault)
         elif not self.fleet.types:
-            self.refuse(ask.request, 503, 1.0, "machine types not known yet")
+            self.refuse(ask.request, 503, RETRY_AFTER_S, "machine types not known yet")
         else:
-            problem = self._impossible(ask.spec)
+            problem = self._rejection_reason(ask.spec)
             stored = fit_spec(ask.spec, self.fleet.types, self.context.limits.value_bytes)
             if problem:
-                self._verdict(ask.request, uid, 422, problem)
+                self._reject_unless_known(ask.request, uid, 422, problem)
             elif stored is None:
-                self._verdict(ask.request, uid, 400, "larger than the state service can hold")
+                self._reject_unless_known(
+                    ask.request, uid, 400, "larger than the state service can hold"
+                )
             else:
                 self._create(ask.request, stored)
 
-    def _known(self, request: int, uid: JobId) -> None:
+    def _answer_known(self, request: int, uid: JobId) -> None:
         job = self.jobs.get(uid)
         if job is None:
             self.refuse(request)
         else:
-            self._tell(request, job)
+            self._answer_job(request, job)
 
-    def _verdict(self, request: int, uid: JobId, status: int, why: str) -> None:
+    def _reject_unless_known(self, request: int, uid: JobId, status: int, reason: str) -> None:
         def then() -> None:
             if self.jobs.get(uid) is not None:
-                self._known(request, uid)
+                self._answer_known(request, uid)
             else:
-                self._by_read(request, status, {"error": why})
+                self._answer_from_read(request, status, {"error": reason})
 
         self._after_sync(request, then)
 
-    def _impossible(self, spec: JobSpec) -> str | None:
-        refused = self.quota.rejection_reason(Job(spec, ABSENT))
-        if refused:
-            return refused
+    def _rejection_reason(self, spec: JobSpec) -> str | None:
+        reason = self.quota.rejection_reason(Job(spec, ABSENT))
+        if reason:
+            return reason
         for machine_type in self.fleet.types.values():
             if spec.types is not None and machine_type.name not in spec.types:
                 continue
@@ -200,12 +222,12 @@
     def _create(self, request: int, spec: JobSpec) -> None:
         uid = JobId(spec.uid)
         if not self.store.ready or self.store.failing:
-            self.refuse(request, 503, 1.0, "no contact with the state service")
+            self.refuse(request, 503, RETRY_AFTER_S, "no contact with the state service")
             return
         backlog = self.store.backlog
-        # One team's flood must not take all the room there is from the others.
-        floods = self._creating[spec.team] > max(1, self._creating.total() // 2)
-        if backlog > (FAIR_BACKLOG_S if floods else MAX_BACKLOG_S):
+        # The submissions of one team must not take the whole backlog from the others.
+        dominates = self._creating[spec.team] > max(1, self._creating.total() // 2)
+        if backlog > (FAIR_BACKLOG_S if dominates else MAX_BACKLOG_S):
             self.refuse(request, 429, math.ceil(backlog), "too many submissions at once")
             return
         self._creating[spec.team] += 1
@@ -214,22 +236,22 @@
             self._creating[spec.team] -= 1
             if outcome is CommitResult.OK:
                 self.context.emit(UserAnswer(request, 201, job_state(uid, "queued")))
-                self.tell_owner(self.shares.of_team(Team(spec.team)), SyncRequest())
+                self.notify_owner(self.shares.of_team(Team(spec.team)), SyncRequest())
             elif outcome is CommitResult.CONFLICT:
-                self._after_sync(request, lambda: self._known(request, uid))
+                self._after_sync(request, lambda: self._answer_known(request, uid))
             else:
-                self.refuse(request, 503, 1.0, "not stored")
+                self.refuse(request, 503, RETRY_AFTER_S, "not stored")
 
         self.store.commit(
             [Condition(JOB + uid, ABSENT)],
             [Write(JOB + uid, job_value(spec, "accepted"))],
             result,
             Store.USER,
-            later(self.context.now, GIVEN_UP_S),
+            later(self.context.now, CHANGE_DEADLINE_S),
         )
 
-    def tell_owner(self, share: ShareNo, message: PeerMessage) -> None:
-        """Send a message to the owner of the share, if another node is."""
+    def notify_owner(self, share: ShareNo, message: PeerMessage) -> None:
+        """Sends a message to the owner of the share, if that is another node."""
         owner = self.shares.living_owner(share)
         if owner is not None and owner != self.context.me:
             self.context.emit(SendToPeer(owner, message))
@@ -237,47 +259,49 @@
     # --- cancellations -------------------------------------------------------------------
 
     def cancel(self, ask: Cancel) -> None:
-        """A user cancels a job, perhaps again."""
+        """Handles a cancellation, which may be repeated."""
         uid = JobId(ask.uid)
         if not UID.match(uid):
             self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
         elif not self._answer_final(ask.request, uid):
-            self._after_sync(ask.request, lambda: self._cancel(ask.request, uid, 3))
+            self._after_sync(ask.request, lambda: self._cancel(ask.request, uid, MAX_CANCEL_TRIES))
 
     def _cancel(self, request: int, uid: JobId, tries: int) -> None:
         job = self.jobs.get(uid)
         if job is None:
-            self._by_read(request, 404, {"error": "no such job"})
+            self._answer_from_read(request, 404, {"error": "no such job"})
             return
         if self._answer_final(request, uid):
             return
         share = self.shares.of_team(Team(job.spec.team))
         owner = self.shares.living_owner(share)
         if owner is None:
-            # Nobody is certain to hear of it in time: a former owner may hold grants.
-            self.refuse(request, 503, 1.0, "the job's share has no owner at the moment")
+            # No node is certain to learn of it in time: a former owner may hold grants.
+            self.refuse(request, 503, RETRY_AFTER_S, "the job's share has no owner at the moment")
             return
         key = JOB + uid
 
         def result(outcome: CommitResult, stamp: Stamp) -> None:
             if outcome is CommitResult.OK:
-                # Everybody, as the owner may have lost contact, and hold grants of any of
-                # them: they pass it on with the next.
+                # To all peers, because the owner may have lost contact and hold grants of any of
+                # them: their next grants carry the cancellation.
                 self.context.emit(SendToPeer(None, CancellationNotice(uid)))
                 self._answer_final(request, uid)
             elif outcome is CommitResult.UNKNOWN:
-                # It may stand, and others may read it: they too tell it only when it is safe.
-                self.refuse(request, 503, 1.0, "not known to be stored")
+                # It may have been stored, and other nodes may read it: they too report it only once
+                # it is confirmed.
+                self.refuse(request, 503, RETRY_AFTER_S, "not known to be stored")
             elif outcome is CommitResult.CONFLICT and tries > 1:
                 self._after_sync(request, lambda: self._cancel(request, uid, tries - 1))
             else:
-                self.refuse(request, 503, 1.0, "not stored")
+                self.refuse(request, 503, RETRY_AFTER_S, "not stored")
 
-        # The owner's live key stands: it hears of this, or it loses its authority in time.
+        # The owner's live key must exist: then the owner reads the cancellation, or it loses its
+        # authority in time.
         self.store.commit(
             [Condition(key, job.stamp), self.store.expect(LIVE + owner)],
             [Write(key, final_value(job.spec, "cancelled", self.context.limits.value_bytes))],
             result,
             Store.OWNER,
-            later(self.context.now, GIVEN_UP_S),
+            later(self.context.now, CHANGE_DEADLINE_S),
         )
