--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -22,7 +22,7 @@
 from .quota import Quota
 from .shares import Holding, Shares
 from .store import Store
-from .turn import Turn, Unmet
+from .turn import Turn, UnmetDemand
 from .versions import Versions
 from .work import Work, grace, may_move_to, permits, zone_open
 
@@ -60,7 +60,7 @@
         fleet: Fleet,
         quota: Quota,
         work: Mapping[JobId, Work],
-        unmet: Mapping[ShareNo, list[Unmet]],
+        unmet: Mapping[ShareNo, list[UnmetDemand]],
         policy: PlacementPolicy,
     ) -> None:
         self.context = context
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -30,7 +30,7 @@
 from .shares import Holding, Shares
 from .store import Store
 from .task_placement import TaskPlacement
-from .turn import Turn, Unmet
+from .turn import Turn, UnmetDemand
 from .unlocated import UnlocatedTasks
 from .versions import Versions
 from .work import (
@@ -66,7 +66,7 @@
         self.work: dict[JobId, Work] = {}
         # Work that may have tasks to start, in the order in which it was opened.
         self._pending: dict[ShareNo, dict[JobId, Work]] = {}
-        self.unmet: dict[ShareNo, list[Unmet]] = {}
+        self.unmet: dict[ShareNo, list[UnmetDemand]] = {}
         self.order = Order(context, quota)
         self._dirty = True
         self._next_turn = Instant(0.0)
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -18,7 +18,7 @@
 from .preemption import Preemption
 from .quota import Quota
 from .scoring import Scoring
-from .turn import Turn, Unmet
+from .turn import Turn, UnmetDemand
 from .work import Work, begun, fetch_s, permits, zone_open
 
 AGED_PART = 0.2  # of the array tasks started, those that overdue work may start first
@@ -87,7 +87,7 @@
         missing = self.serve(turn, work, turn.roomy, last=True)
         if missing:
             closed = tuple(z for z in sorted(work.zones) if not zone_open(work, z))
-            turn.unmet.append(Unmet(work.job, missing, closed))
+            turn.unmet.append(UnmetDemand(work.job, missing, closed))
 
     def serve(self, turn: Turn, work: Work, machines: list[Machine], last: bool) -> int:
         """Start what fits on the machines; returns how many tasks found none. Only the `last`
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -15,7 +15,7 @@
 MachineKind = tuple[bool, tuple[str, ...] | None, str | None]  # spot, types, zone
 
 
-class Unmet(NamedTuple):
+class UnmetDemand(NamedTuple):
     """Tasks of a job that found no machine in a turn."""
 
     job: Job
@@ -35,7 +35,7 @@
     claimed: set[MachineId] = field(default_factory=set)  # room is being made there
     # Sizes that found no room in this turn: what is no smaller won't find any either.
     full: dict[MachineKind, list[Size]] = field(default_factory=dict)
-    unmet: list[Unmet] = field(default_factory=list)
+    unmet: list[UnmetDemand] = field(default_factory=list)
 
     def unlocated_of(self, team: str) -> Size:
         """What the team may be running where this owner can't see it yet."""
