--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -11,7 +11,9 @@
 from .quota import Quota
 from .work import Work, begun
 
-AGED_S = 120.0  # a job that waits longer is overdue, or smaller ones would pass it for ever
+OVERDUE_AFTER_S = (
+    120.0  # a job that waits longer is overdue, or smaller ones would pass it for ever
+)
 
 
 class Order:
@@ -48,8 +50,8 @@
         now = self.context.now
         started = begun(work)
         key = (not self.quota.within_guarantee(job), spec.rank)
-        if not started and now > job.submitted + AGED_S and now >= work.aged_until:
-            work.aged_until = Instant(now + AGED_S)
+        if not started and now > job.submitted + OVERDUE_AFTER_S and now >= work.aged_until:
+            work.aged_until = Instant(now + OVERDUE_AFTER_S)
         if spec.service or spec.gang:
             if now < work.aged_until:
                 return (False, -1, 0, job.submitted, job.uid)
@@ -70,5 +72,5 @@
             not spec.service
             and not spec.gang
             and not work.fails_everywhere
-            and self.context.now > work.job.submitted + AGED_S
+            and self.context.now > work.job.submitted + OVERDUE_AFTER_S
         )
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -9,7 +9,7 @@
 from runcourse.core.ids import Instant, ShareNo
 from runcourse.core.image_supply import HeldImages
 from runcourse.core.jobs import Job
-from runcourse.core.order import AGED_S
+from runcourse.core.order import OVERDUE_AFTER_S
 from runcourse.core.placement import ZERO_SIZE
 from runcourse.core.preemption import MIN_RUNTIME_S
 from runcourse.core.task_placement import AGED_PART
@@ -93,7 +93,7 @@
     scheduler, share = node.scheduler, machine.share
     old = waiting(share.number, "img", 1, deadline_s=20.0)
     new = waiting(share.number, "img", 2, deadline_s=500.0)
-    old.job.submitted = node.context.now - AGED_S - 1.0  # type: ignore[assignment]
+    old.job.submitted = node.context.now - OVERDUE_AFTER_S - 1.0  # type: ignore[assignment]
     new.job.submitted = node.context.now
     started = 0
     for _ in range(15):
@@ -136,5 +136,5 @@
     assert stoppable(replica.job), "a higher rank need not wait"
     node.context.now = Instant(node.context.now + MIN_RUNTIME_S + 0.1)
     assert stoppable(claimant.job)
-    borrower.job.submitted = node.context.now - AGED_S - 1.0
+    borrower.job.submitted = node.context.now - OVERDUE_AFTER_S - 1.0
     assert not stoppable(claimant.job), "overdue work that has begun at last goes on"
