--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -21,7 +21,7 @@
 from .turn import Turn, UnmetDemand
 from .work import Work, begun, fetch_s, permits, zone_open
 
-AGED_PART = 0.2  # of the array tasks started, those that overdue work may start first
+OVERDUE_START_FRACTION = 0.2  # of the array tasks started, those that overdue work may start first
 AGED_CREDIT = 50.0
 ELSEWHERE_S = 3.0  # for which new replicas leave the room that is reserved for gangs
 UNBEGUN_S = 45.0  # an array that waits longer begins wherever there is room
@@ -59,7 +59,9 @@
 
     def array_task_placed(self, share: ShareNo) -> None:
         """For each array task started, overdue work may start a part of one first."""
-        self._credit[share] = min(self._credit.get(share, 0.0) + AGED_PART, AGED_CREDIT)
+        self._credit[share] = min(
+            self._credit.get(share, 0.0) + OVERDUE_START_FRACTION, AGED_CREDIT
+        )
 
     def serve_overdue(self, turn: Turn, waiting: Iterable[Work]) -> None:
         """Work that is long overdue makes way steadily: its first task goes before all else, and
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -12,7 +12,7 @@
 from runcourse.core.order import OVERDUE_AFTER_S
 from runcourse.core.placement import ZERO_SIZE
 from runcourse.core.preemption import MIN_RUNTIME_S
-from runcourse.core.task_placement import AGED_PART
+from runcourse.core.task_placement import OVERDUE_START_FRACTION
 from runcourse.core.work import Work
 
 
@@ -111,7 +111,7 @@
         started += before - len(old.pending)
         total = sum(len(m.placements) for m in node.fleet.of_share(share.number))
         assert total >= 4
-    assert 15 <= started <= 15 * (1 + total * AGED_PART * 2)
+    assert 15 <= started <= 15 * (1 + total * OVERDUE_START_FRACTION * 2)
 
 
 def test_what_is_started_is_not_stopped_for_its_equal_in_the_same_breath() -> None:
