--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -16,7 +16,7 @@
 )
 
 
-class Order:
+class QueueOrder:
     """Compares waiting jobs by guarantee, rank and the aims of their classes."""
 
     def __init__(self, context: Context, quota: Quota) -> None:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -14,7 +14,7 @@
 from .jobs import Job
 from .machine import Machine, Placement
 from .machines import Fleet
-from .order import Order
+from .order import QueueOrder
 from .placement import ZERO_SIZE, Size
 from .quota import Quota
 from .turn import Turn
@@ -33,7 +33,7 @@
         context: Context,
         fleet: Fleet,
         quota: Quota,
-        order: Order,
+        order: QueueOrder,
         budget: Budget,
         work: Mapping[JobId, Work],
         gangs: Gangs,
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -21,7 +21,7 @@
 from .machine import Machine, Placement
 from .machines import MOST_LISTED, Fleet
 from .migrations import Migrations
-from .order import Order
+from .order import QueueOrder
 from .placement import Size
 from .policy import PlacementPolicy
 from .preemption import Preemption
@@ -67,7 +67,7 @@
         # Work that may have tasks to start, in the order in which it was opened.
         self._pending: dict[ShareNo, dict[JobId, Work]] = {}
         self.unmet: dict[ShareNo, list[UnmetDemand]] = {}
-        self.order = Order(context, quota)
+        self.order = QueueOrder(context, quota)
         self._dirty = True
         self._next_turn = Instant(0.0)
         self._due_at = FAR_FUTURE  # when what backs off is to be looked at again
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -13,7 +13,7 @@
 from .ids import ShareNo, TaskId
 from .machine import Machine
 from .machines import MOST_LISTED, Fleet
-from .order import Order
+from .order import QueueOrder
 from .placement import count_fitting
 from .preemption import Preemption
 from .quota import Quota
@@ -39,7 +39,7 @@
         context: Context,
         fleet: Fleet,
         quota: Quota,
-        order: Order,
+        order: QueueOrder,
         budget: Budget,
         scoring: Scoring,
         preemption: Preemption,
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -20,7 +20,7 @@
 from runcourse.core.jobs import MAX_TASKS, PART_BITS, fit_spec, job_value, name_digest
 from runcourse.core.leader.adoption import FoundMachine
 from runcourse.core.node import Node
-from runcourse.core.order import Order
+from runcourse.core.order import QueueOrder
 from runcourse.core.quota import Quota
 from runcourse.core.sizes import json_size
 
@@ -58,7 +58,7 @@
 
     settings = platform("n0", objectives=(Objective("wait", "l" * 200, within_s=3.0),))
     node = Node(settings, Operators(), random.Random(1), Instant(0.0))
-    order = Order(node.context, Quota(node.context))
+    order = QueueOrder(node.context, Quota(node.context))
     assert order.within[name_digest("l" * 200)] == 3.0
 
 
