--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -67,7 +67,7 @@
         self.preemption = preemption
         self.budget = budget
         self.score = score
-        self.within = within  # seconds that a class is promised to start in
+        self.wait_limits_s = within  # seconds that a class is promised to start in
 
     def serve(self, turn: Turn, work: Work, machines: Iterable[Machine], last: bool) -> int:
         """Start all that is pending of the gang, or nothing; returns how many tasks need room.
@@ -198,7 +198,7 @@
         return reserved
 
     def _reserve_after_s(self, job: Job) -> float:
-        within = self.within.get(job.spec.lane)
+        within = self.wait_limits_s.get(job.spec.lane)
         return RESERVE_AFTER_S if within is None else within / 2
 
     def _soonest(self, work: Work, machines: list[Machine]) -> list[Machine] | None:
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -27,10 +27,10 @@
             if aim.kind == "deadline" and aim.job_class is not None:
                 times = {*self._lateness.get(aim.job_class, ()), aim.times or 1.0}
                 self._set(self._lateness, aim.job_class, tuple(sorted(times)))
-        self.within: dict[str, float] = {}
+        self.wait_limits_s: dict[str, float] = {}
         for aim in context.platform.settings.objectives:
             if aim.kind == "wait" and aim.job_class is not None and aim.within_s is not None:
-                self._set(self.within, aim.job_class, aim.within_s)
+                self._set(self.wait_limits_s, aim.job_class, aim.within_s)
         self._finished_within: dict[str, list[float]] = {}
         for aim in context.platform.settings.objectives:
             if aim.kind == "finished" and aim.job_class is not None and aim.within_s is not None:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -96,7 +96,7 @@
             self.preemption,
             self.budget,
             self.scoring.score,
-            self.order.within,
+            self.order.wait_limits_s,
         )
         self.unlocated = UnlocatedTasks(self.context, self.shares, fleet, self.work)
         self.placement = TaskPlacement(
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -229,7 +229,7 @@
         take the room of lesser work on machines that hold it. For how many tasks room is being
         made: they wait the moment until it is there."""
         job = work.job
-        within = self.order.within.get(job.spec.lane)
+        within = self.order.wait_limits_s.get(job.spec.lane)
         if within is None or not job.spec.service or work.fails_everywhere:
             return 0
         lacking = len(work.pending) - sum(
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -59,7 +59,7 @@
     settings = platform("n0", objectives=(Objective("wait", "l" * 200, within_s=3.0),))
     node = Node(settings, Operators(), random.Random(1), Instant(0.0))
     order = QueueOrder(node.context, Quota(node.context))
-    assert order.within[name_digest("l" * 200)] == 3.0
+    assert order.wait_limits_s[name_digest("l" * 200)] == 3.0
 
 
 def test_the_pages_of_a_hundred_thousand_finished_tasks_fit_the_least_limits() -> None:
