--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -22,11 +22,11 @@
     def __init__(self, context: Context, quota: Quota) -> None:
         self.context = context
         self.quota = quota
-        self._lateness: dict[str, tuple[float, ...]] = {}
+        self._deadline_factors: dict[str, tuple[float, ...]] = {}
         for aim in context.platform.settings.objectives:
             if aim.kind == "deadline" and aim.job_class is not None:
-                times = {*self._lateness.get(aim.job_class, ()), aim.times or 1.0}
-                self._set(self._lateness, aim.job_class, tuple(sorted(times)))
+                times = {*self._deadline_factors.get(aim.job_class, ()), aim.times or 1.0}
+                self._set(self._deadline_factors, aim.job_class, tuple(sorted(times)))
         self.wait_limits_s: dict[str, float] = {}
         for aim in context.platform.settings.objectives:
             if aim.kind == "wait" and aim.job_class is not None and aim.within_s is not None:
@@ -60,7 +60,7 @@
             return (*key, 0, math.inf, job.uid)
         # Estimates are often wrong by half: what has begun may end sooner.
         left = spec.estimate_s * (0.5 if started else 1.0)
-        lasts = [times * spec.deadline_s for times in self._lateness.get(spec.lane, (1.0,))]
+        lasts = [times * spec.deadline_s for times in self._deadline_factors.get(spec.lane, (1.0,))]
         lasts += self._finished_within.get(spec.lane, ())
         tier = sum(now + left > job.submitted + last for last in lasts)
         return (*key, tier, job.submitted + spec.deadline_s, job.uid)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -150,7 +150,10 @@
     node = world.nodes["n0"]
     assert node is not None
     scheduler = node.scheduler
-    scheduler.order._lateness["x"] = (Objective("deadline", "x", 0.9, 1.0).times or 1.0, 1.5)
+    scheduler.order._deadline_factors["x"] = (
+        Objective("deadline", "x", 0.9, 1.0).times or 1.0,
+        1.5,
+    )
     now = node.context.now
 
     def work(uid: str, due: float) -> Work:
