--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -9,7 +9,7 @@
 PLACEMENTS_WEIGH = 4  # tasks that might be stopped, weighed in the time of a machine
 
 
-class Budget:
+class TurnBudget:
     """Counts what a turn weighs."""
 
     def __init__(self, context: Context) -> None:
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from .budget import Budget
+from .budget import TurnBudget
 from .context import Context
 from .gangs import Gangs
 from .ids import JobId, MachineId, TaskId
@@ -55,7 +55,7 @@
         quota: Quota,
         gangs: Gangs,
         preemption: Preemption,
-        budget: Budget,
+        budget: TurnBudget,
         score: Score,
         within: Mapping[str, float],
     ) -> None:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .budget import Budget
+from .budget import TurnBudget
 from .context import Context
 from .gangs import Gangs
 from .ids import JobId, Team
@@ -34,7 +34,7 @@
         fleet: Fleet,
         quota: Quota,
         order: QueueOrder,
-        budget: Budget,
+        budget: TurnBudget,
         work: Mapping[JobId, Work],
         gangs: Gangs,
     ) -> None:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -8,7 +8,7 @@
 from itertools import groupby
 
 from .authority import Authority
-from .budget import Budget
+from .budget import TurnBudget
 from .context import Context
 from .draining import Draining
 from .failures import Failures
@@ -72,7 +72,7 @@
         self._next_turn = Instant(0.0)
         self._due_at = FAR_FUTURE  # when what backs off is to be looked at again
         self.finishes = Finishes(context, store, shares)
-        self.budget = Budget(context)
+        self.budget = TurnBudget(context)
         self.policy = policy
         self.scoring = Scoring(context, policy)
         self.image_supply = ImageSupply(context)
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Iterable
 
-from .budget import Budget
+from .budget import TurnBudget
 from .context import Context
 from .failures import FAILS, Failures
 from .gang_placement import GangPlacement
@@ -40,7 +40,7 @@
         fleet: Fleet,
         quota: Quota,
         order: QueueOrder,
-        budget: Budget,
+        budget: TurnBudget,
         scoring: Scoring,
         preemption: Preemption,
         gang_placement: GangPlacement,
