--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -35,6 +35,6 @@
         self._weighed += len(machines)
         return machines
 
-    def weigh_tasks(self, machines: list[Machine]) -> None:
+    def charge_tasks(self, machines: list[Machine]) -> None:
         """What there is to stop is weighed task by task, and a machine may hold a hundred."""
         self._weighed += sum(len(m.placements) for m in machines) // PLACEMENTS_WEIGH
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -110,7 +110,7 @@
             ],
             CANDIDATES_PER_TASK * missing,
         )
-        self.budget.weigh_tasks(pool)
+        self.budget.charge_tasks(pool)
         for machine in pool:
             option = preemption_cost(machine)
             if option is not None:
@@ -161,7 +161,7 @@
             and zone_open(work, m.record.zone)
             and m.below(job.spec.rank - guaranteed) >= job.size.cpus - CPU_TOLERANCE
         ]
-        self.budget.weigh_tasks(pool)
+        self.budget.charge_tasks(pool)
         zones: dict[str, list[tuple[float, str, Machine, int]]] = {}
         for machine in pool:
             count = task_count
