--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -73,7 +73,7 @@
         """Start all that is pending of the gang, or nothing; returns how many tasks need room.
         Only the `last` try may stop others."""
         job, n = work.job, len(work.pending)
-        work.wait_reason = self.gangs.look(work)
+        work.wait_reason = self.gangs.check_startable(work)
         if work.wait_reason or not n:
             return 0
         if not self.quota.allows(job, turn.unlocated_of(job.spec.team).plus(self.gangs.size(work))):
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -109,7 +109,7 @@
             if not mate.stopping:
                 self.fleet.placements.stop(mate)
 
-    def look(self, work: Work) -> str:
+    def check_startable(self, work: Work) -> str:
         """Why nothing of the gang may be started now; empty: all that is pending may. Asked only
         when every task that may be somewhere is located."""
         if (
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -146,7 +146,7 @@
             node.fleet.placements._deactivate(lost, lost.stage)
             del lost.machine.placements[(lost.task, lost.attempt)]
             work.pending[lost.task.number] = None
-            node.scheduler.gangs.look(work)
+            node.scheduler.gangs.check_startable(work)
         assert work.ending and all(p.stopping for p in node.fleet.placements.of_job(UID))  # type: ignore[arg-type]
 
 
