--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -77,7 +77,7 @@
                 or any(p.job is None or p.job.spec.rank <= rank for p in active)
             ):
                 continue
-            lost_s = sum(self.gangs.lost(p) for p in active)
+            lost_s = sum(self.gangs.stop_cost_s(p) for p in active)
             if best is None or (lost_s, machine.id) < best[:2]:
                 best = (lost_s, machine.id, machine)
         if best is None:
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -159,7 +159,7 @@
             if not member.stopping:
                 self.fleet.placements.stop(member, grace(member) if all_told else 0.0)
 
-    def lost(self, placement: Placement) -> float:
+    def stop_cost_s(self, placement: Placement) -> float:
         """What stopping it costs, in seconds of work; of a gang all its tasks' part."""
         now = self.context.now
         if placement.job is None or not placement.job.spec.gang:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -91,7 +91,7 @@
             victims = self.find_victims(job, machine, guaranteed > 0, stopping)
             if victims is None:
                 return None
-            lost_s = sum(self.gangs.lost(victim) for victim in victims)
+            lost_s = sum(self.gangs.stop_cost_s(victim) for victim in victims)
             return lost_s + (fetch_s(job, machine) if job.spec.service else 0.0), victims
 
         candidates: list[tuple[float, str, Machine]] = []
@@ -176,7 +176,9 @@
             ):
                 count //= 2
             if count:
-                lost_s = sum(self.gangs.lost(v) for v in victims or ()) + fetch_s(job, machine)
+                lost_s = sum(self.gangs.stop_cost_s(v) for v in victims or ()) + fetch_s(
+                    job, machine
+                )
                 zone = machine.record.zone if job.spec.together else ""
                 zones.setdefault(zone, []).append((lost_s / count, machine.id, machine, count))
         best: tuple[float, list[tuple[Machine, int]]] | None = None
@@ -219,7 +221,7 @@
                 room = room.plus(placement.size)
         victims: list[Placement] = []
         planned_stopping = dict(stopping)
-        for placement in sorted((p for p in active if not p.stopping), key=self.gangs.lost):
+        for placement in sorted((p for p in active if not p.stopping), key=self.gangs.stop_cost_s):
             if size.fits(room):
                 break
             if placement.job is None:
