--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -23,7 +23,7 @@
 from .quota import Quota
 from .shares import Shares
 from .turn import Turn
-from .work import Work, fetch_s, permits, zone_open
+from .work import Work, fetch_s, permits, zone_allows_task
 
 Score = Callable[[Job, Machine, Size], float]
 
@@ -85,7 +85,7 @@
             if job.size.fits(m.room)
             and m.id not in turn.claimed
             and permits(job, m)
-            and zone_open(work, m.record.zone)
+            and zone_allows_task(work, m.record.zone)
         ]
         plan = self._plan(work, fits)
         if plan is None:
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -24,7 +24,7 @@
 from .store import Store
 from .turn import Turn, UnmetDemand
 from .versions import Versions
-from .work import Work, grace, may_move_to, permits, zone_open
+from .work import Work, grace, may_move_to, permits, zone_allows_task
 
 MIN_REPLICAS = 2  # a service with fewer cannot spare one while it moves
 MIN_RUNTIME_S = 30.0  # a task that has run for less is not moved
@@ -284,7 +284,7 @@
             and self.fleet.usable(target)
             and job.size.fits(target.room)
             and permits(job, target)
-            and zone_open(work, target.record.zone)
+            and zone_allows_task(work, target.record.zone)
             and not target.holds(task)
             and self.quota.allows(job, turn.unlocated_of(job.spec.team))
         )
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -18,7 +18,7 @@
 from .placement import ZERO_SIZE, Size
 from .quota import Quota
 from .turn import Turn
-from .work import Work, fetch_s, permits, zone_open
+from .work import Work, fetch_s, permits, zone_allows_task
 
 MIN_RUNTIME_S = 3.0  # a task placed less long ago is not stopped for a guarantee
 CPU_TOLERANCE = 1e-6  # CPUs; absorbs rounding in sums of sizes
@@ -74,7 +74,7 @@
             spec.types,
             spec.zone,
             spec.team if guaranteed > 0 else "",
-            tuple(zone for zone in work.zones if not zone_open(work, zone)),
+            tuple(zone for zone in work.zones if not zone_allows_task(work, zone)),
             spec.image if fetch_limit_s < math.inf else "",
         )
         if any(size.fits(job.size) for size in self._unsatisfiable.get(request, ())):
@@ -84,7 +84,7 @@
 
         def preemption_cost(machine: Machine) -> tuple[float, list[Placement]] | None:
             zone = machine.record.zone
-            if not zone_open(work, zone, served_by_zone.get(zone, 0)) or (
+            if not zone_allows_task(work, zone, served_by_zone.get(zone, 0)) or (
                 fetch_limit_s < math.inf and fetch_s(job, machine) > fetch_limit_s
             ):
                 return None
@@ -158,7 +158,7 @@
             if m.id not in turn.claimed
             and permits(job, m)
             and turn.reserved.get(m.id, job.uid) == job.uid
-            and zone_open(work, m.record.zone)
+            and zone_allows_task(work, m.record.zone)
             and m.below(job.spec.rank - guaranteed) >= job.size.cpus - CPU_TOLERANCE
         ]
         self.budget.charge_tasks(pool)
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -19,7 +19,7 @@
 from .quota import Quota
 from .scoring import Scoring
 from .turn import Turn, UnmetDemand
-from .work import Work, begun, fetch_s, permits, zone_open
+from .work import Work, begun, fetch_s, permits, zone_allows_task
 
 OVERDUE_START_FRACTION = 0.2  # of the array tasks started, those that overdue work may start first
 AGED_CREDIT = 50.0
@@ -88,7 +88,7 @@
         """The last try of a turn: it may stop lesser work, and what is missing is noted."""
         missing = self.serve(turn, work, turn.roomy, last=True)
         if missing:
-            closed = tuple(z for z in sorted(work.zones) if not zone_open(work, z))
+            closed = tuple(z for z in sorted(work.zones) if not zone_allows_task(work, z))
             turn.unmet.append(UnmetDemand(work.job, missing, closed))
 
     def serve(self, turn: Turn, work: Work, machines: list[Machine], last: bool) -> int:
@@ -202,7 +202,7 @@
         aside = []
         while scored and not self._may_take(work, task, scored[0][2]):
             entry = heapq.heappop(scored)
-            if zone_open(work, entry[2].record.zone):
+            if zone_allows_task(work, entry[2].record.zone):
                 aside.append(entry)  # holds a former attempt of this task only
         if not scored:
             return False
@@ -220,7 +220,7 @@
 
     @staticmethod
     def _may_take(work: Work, task: TaskId, machine: Machine) -> bool:
-        return zone_open(work, machine.record.zone) and not (
+        return zone_allows_task(work, machine.record.zone) and not (
             task.number in work.tried and machine.holds(task)
         )
 
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -75,7 +75,7 @@
     )
 
 
-def zone_open(work: Work, zone: str, more: int = 0) -> bool:
+def zone_allows_task(work: Work, zone: str, more: int = 0) -> bool:
     """`spread` and `together`, given the job's other tasks at this moment, and `more`."""
     spec = work.job.spec
     placed = work.zones.get(zone, 0) + more
@@ -86,7 +86,7 @@
 
 def may_move_to(work: Work, here: str, there: str) -> bool:
     """Would the zones still be as the job asks, with one of its tasks there instead of here?"""
-    return here == there or (zone_open(work, there) and not work.job.spec.together)
+    return here == there or (zone_allows_task(work, there) and not work.job.spec.together)
 
 
 def fetching(machine: Machine) -> dict[str, float]:
