--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -9,7 +9,7 @@
 from .ids import LONG_AGO, Instant, ShareNo
 from .machine import Machine
 from .shares import Holding
-from .work import Work, fetching
+from .work import Work, images_being_fetched
 
 PLENTY = 2.0  # an image is held by enough machines: twice its part of what waits
 HELD_EVERY_S = 1.0  # between two counts of what images the machines hold
@@ -67,6 +67,6 @@
         for machine in machines:
             assert machine.type is not None
             total += machine.type.cpus
-            for image in (*fetching(machine), *machine.images):
+            for image in (*images_being_fetched(machine), *machine.images):
                 found[image] = found.get(image, 0.0) + machine.type.cpus
         return HeldImages(self.context.now, found, total)
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -89,7 +89,7 @@
     return here == there or (zone_allows_task(work, there) and not work.job.spec.together)
 
 
-def fetching(machine: Machine) -> dict[str, float]:
+def images_being_fetched(machine: Machine) -> dict[str, float]:
     """Images under way to the machine, and their size."""
     images = machine.fetches
     if images is None:
@@ -107,7 +107,7 @@
     image = job.spec.image
     if image in machine.images or machine.type is None:
         return 0.0
-    under_way = fetching(machine)
+    under_way = images_being_fetched(machine)
     gb = sum(under_way.values())
     if image not in under_way:
         gb += job.spec.image_gb
@@ -116,7 +116,7 @@
 
 def fetches_or_holds(image: str, machine: Machine) -> bool:
     """Does the machine hold the image, or is it under way?"""
-    return image in machine.images or image in fetching(machine)
+    return image in machine.images or image in images_being_fetched(machine)
 
 
 def loss(placement: Placement, now: Instant) -> float:
--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -16,7 +16,7 @@
 from ..core.ids import Instant, MachineId
 from ..core.jobs import JobSpec
 from ..core.machine import Machine
-from ..core.work import fetching
+from ..core.work import images_being_fetched
 from .settings import LocalitySettings
 
 FETCH_LOAD = 0.05  # fraction of a machine, for each image being fetched
@@ -59,7 +59,9 @@
 
 def machine_load(machine: Machine) -> float:
     """Returns the load by committed CPUs and image fetches, as a fraction of the machine."""
-    return committed_fraction(machine) + min(FETCH_LOAD * len(fetching(machine)), MAX_FETCH_LOAD)
+    return committed_fraction(machine) + min(
+        FETCH_LOAD * len(images_being_fetched(machine)), MAX_FETCH_LOAD
+    )
 
 
 class LoadTracker:
