--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -12,7 +12,7 @@
 from .machines import Fleet
 from .placement import Size
 from .shares import Shares
-from .work import Work, grace, may_move_to, permits
+from .work import Work, may_move_to, permits, stop_grace_s
 
 DRAIN_TIMEOUT_S = 45.0  # a machine that is not empty by then accepts tasks again
 MIN_REPLICA_RUNTIME_S = 35.0  # a replica that has run for less is not moved
@@ -201,7 +201,7 @@
                 continue
             if target is not None:
                 rooms[target.id] = rooms[target.id].minus(placement.size)
-            self.fleet.placements.stop(placement, grace(placement))
+            self.fleet.placements.stop(placement, stop_grace_s(placement))
 
     def _evacuate_gang(self, placement: Placement, notice_left_s: float) -> None:
         """Stops a gang of which one task is on a machine under notice, unless it ends in time.
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -20,7 +20,7 @@
 from .machine import Placement
 from .machines import Fleet
 from .placement import Size
-from .work import Work, grace, loss
+from .work import Work, loss, stop_grace_s
 
 INCOMPLETE_FIRST_S = 1.0  # before a gang that was not complete in time is tried again
 INCOMPLETE_MOST_S = 30.0
@@ -143,7 +143,9 @@
         can be told at once: else the save fails, and the time is lost too."""
         work = self.work.get(placement.task.job)
         if work is None or not work.job.spec.gang:
-            self.fleet.placements.stop(placement, grace(placement) if grace_s is None else grace_s)
+            self.fleet.placements.stop(
+                placement, stop_grace_s(placement) if grace_s is None else grace_s
+            )
             return
         members = self.fleet.placements.of_job(work.job.uid)
         all_told = len(members) == work.job.spec.tasks and all(
@@ -157,7 +159,7 @@
         work.ending = True
         for member in members:
             if not member.stopping:
-                self.fleet.placements.stop(member, grace(member) if all_told else 0.0)
+                self.fleet.placements.stop(member, stop_grace_s(member) if all_told else 0.0)
 
     def stop_cost_s(self, placement: Placement) -> float:
         """What stopping it costs, in seconds of work; of a gang all its tasks' part."""
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -24,7 +24,7 @@
 from .store import Store
 from .turn import Turn, UnmetDemand
 from .versions import Versions
-from .work import Work, grace, may_move_to, permits, zone_allows_task
+from .work import Work, may_move_to, permits, stop_grace_s, zone_allows_task
 
 MIN_REPLICAS = 2  # a service with fewer cannot spare one while it moves
 MIN_RUNTIME_S = 30.0  # a task that has run for less is not moved
@@ -238,7 +238,7 @@
             return
         self.counts["begun"] += 1
         self.context.log("info", f"moving {text}")
-        grace_s = grace(placement)
+        grace_s = stop_grace_s(placement)
         deadline = later(self.context.now, grace_s + STOP_MARGIN_S)
         self._moves[placement.task] = Migration(proposal, deadline)
         target.reserve(placement.task, placement.size)
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -129,7 +129,7 @@
     return ran
 
 
-def grace(placement: Placement) -> float:
+def stop_grace_s(placement: Placement) -> float:
     """The time that the task needs to save when it is stopped."""
     spec = placement.job.spec if placement.job else None
     return spec.save_s if spec and spec.checkpoint_s > 0 else 0.0
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -10,7 +10,7 @@
 from ..core.placement import MIN_CPUS
 from ..core.policy import Candidate, MoveProposal
 from ..core.store import Bucket
-from ..core.work import fetch_s, grace
+from ..core.work import fetch_s, stop_grace_s
 from .costs import Costs
 from .load import NORMAL_SLOWNESS, Heat, LoadTracker, committed_fraction
 from .settings import LocalitySettings
@@ -145,7 +145,7 @@
         if saved_transfer_s <= 0 and not self._balances_load(source, target, target_committed):
             return None
         gain_s = remaining * (saved_transfer_s + run_time_s * saved_slowdown)
-        cost_s = grace(placement) + fetch_s(job, target) + RESTART_S
+        cost_s = stop_grace_s(placement) + fetch_s(job, target) + RESTART_S
         net_s = gain_s - cost_s
         if gain_s < self.settings.gain_factor * cost_s or net_s < self.settings.least_gain:
             return None
