--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -203,7 +203,7 @@
     def _overdue(self, work: Work) -> bool:
         spec, now = work.job.spec, self.context.now
         past_deadline = spec.deadline_s is not None and now > work.job.submitted + spec.deadline_s
-        return past_deadline or now < work.aged_until
+        return past_deadline or now < work.prioritised_until
 
     def _find_targets(self, placement: Placement, machines: Iterable[Machine]) -> list[Machine]:
         """Returns the machines where the task may go once this attempt has ended."""
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -50,10 +50,10 @@
         now = self.context.now
         started = begun(work)
         key = (not self.quota.within_guarantee(job), spec.rank)
-        if not started and now > job.submitted + OVERDUE_AFTER_S and now >= work.aged_until:
-            work.aged_until = Instant(now + OVERDUE_AFTER_S)
+        if not started and now > job.submitted + OVERDUE_AFTER_S and now >= work.prioritised_until:
+            work.prioritised_until = Instant(now + OVERDUE_AFTER_S)
         if spec.service or spec.gang:
-            if now < work.aged_until:
+            if now < work.prioritised_until:
                 return (False, -1, 0, job.submitted, job.uid)
             return (*key, 0, job.submitted, job.uid)
         if not spec.deadline_s:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -234,7 +234,7 @@
             # Otherwise work that starts after a long wait, and has the least to lose, is stopped at
             # once, and is started and stopped again many times a second.
             work = self.work.get(placement.task.job)
-            if work is not None and self.context.now < work.aged_until:
+            if work is not None and self.context.now < work.prioritised_until:
                 continue
             if placement.job.spec.rank <= job.spec.rank and (
                 self.context.now < placement.since + MIN_RUNTIME_S
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -11,7 +11,7 @@
     """What is left to do of one open job of an owned share."""
 
     __slots__ = (
-        "aged_until",
+        "prioritised_until",
         "attempt",
         "ending",
         "errors",
@@ -44,7 +44,7 @@
         self.flushed_at = LONG_AGO
         self.retry_at = LONG_AGO
         self.not_before = LONG_AGO
-        self.aged_until = LONG_AGO  # goes first and is not stopped for others until then
+        self.prioritised_until = LONG_AGO  # goes first and is not stopped for others until then
         self.errors: dict[MachineId, int] = {}  # where its tasks failed, how often
         self.fails_after = 0.0  # seconds at the most from the start of a task to its failure
         self.fails_everywhere = False  # wherever it is started, as it seems
