--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -34,7 +34,9 @@
         now = self.context.now
         machine, uid = placement.machine, work.job.uid
         work.errors[machine.id] = work.errors.get(machine.id, 0) + 1
-        work.fails_after = max(work.fails_after, now - (placement.ran_since or placement.since))
+        work.max_time_to_failure_s = max(
+            work.max_time_to_failure_s, now - (placement.ran_since or placement.since)
+        )
         if work.fails_everywhere:
             # Tasks that were under way when it was found are no tries of their own.
             if now >= work.not_before:
@@ -75,7 +77,7 @@
 
     def goes_well(self, work: Work) -> bool:
         """Has a task of the job run for longer than those that failed?"""
-        enough = 1.5 * work.fails_after + 1.0
+        enough = 1.5 * work.max_time_to_failure_s + 1.0
         return any(
             p.stage == "running" and self.context.now - p.ran_since > enough
             for p in self.fleet.placements.of_job(work.job.uid)
@@ -115,4 +117,4 @@
             work.not_before = LONG_AGO
             self._changed()
         work.errors.clear()
-        work.fails_after = 0.0
+        work.max_time_to_failure_s = 0.0
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -15,7 +15,7 @@
         "attempt",
         "ending",
         "errors",
-        "fails_after",
+        "max_time_to_failure_s",
         "fails_everywhere",
         "finished",
         "flushed_at",
@@ -46,7 +46,9 @@
         self.not_before = LONG_AGO
         self.prioritised_until = LONG_AGO  # goes first and is not stopped for others until then
         self.errors: dict[MachineId, int] = {}  # where its tasks failed, how often
-        self.fails_after = 0.0  # seconds at the most from the start of a task to its failure
+        self.max_time_to_failure_s = (
+            0.0  # seconds at the most from the start of a task to its failure
+        )
         self.fails_everywhere = False  # wherever it is started, as it seems
         self.tried: set[int] = set()  # tasks of which machines may still list a former attempt
         self.probes = 0  # tries since that was found
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -155,7 +155,7 @@
     node = world.nodes[owner_of_job(world, "j-000300")]
     assert node is not None
     # Most of its tasks have run for longer than those that failed soon after their start.
-    work.fails_after = 1.0
+    work.max_time_to_failure_s = 1.0
     work.errors.update({"i-1": 1, "i-2": 1})  # type: ignore[dict-item]
     machine = next(m for m in node.fleet.of_share(work.share) if m.placements)
     placement = next(p for p in machine.placements.values() if p.active)
