--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -73,7 +73,7 @@
         )
 
     def _does_well(self, work: Work) -> bool:
-        return bool(work.job.done_count or work.finished) or self.goes_well(work)
+        return bool(work.job.done_count or work.unstored_done_bits) or self.goes_well(work)
 
     def goes_well(self, work: Work) -> bool:
         """Has a task of the job run for longer than those that failed?"""
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -36,7 +36,7 @@
 
     def add(self, work: Work, number: int) -> None:
         """Records a finished task that is not stored yet."""
-        work.finished |= 1 << number
+        work.unstored_done_bits |= 1 << number
         self._unstored[work.job.uid] = work
         self._schedule(work)
 
@@ -72,7 +72,7 @@
     @staticmethod
     def _is_complete(work: Work) -> bool:
         """Returns whether all tasks of the job are finished."""
-        return (work.job.done_bits | work.finished).bit_count() >= work.job.spec.tasks
+        return (work.job.done_bits | work.unstored_done_bits).bit_count() >= work.job.spec.tasks
 
     def flush(self) -> None:
         """Stores the finished tasks of jobs that are due."""
@@ -93,7 +93,7 @@
     def store_finished(self, work: Work, complete: bool) -> None:
         """Stores finished tasks of the job; `complete`: all of its tasks are finished."""
         job = work.job
-        bits = work.finished
+        bits = work.unstored_done_bits
         work.flushing = True
         work.flushed_at = self.context.now
         key = JOB + job.uid
@@ -107,8 +107,8 @@
         def done(result: CommitResult, stamp: Stamp) -> None:
             work.flushing = False
             if result is CommitResult.OK:
-                work.finished &= ~bits
-                if not work.finished and self._unstored.get(job.uid) is work:
+                work.unstored_done_bits &= ~bits
+                if not work.unstored_done_bits and self._unstored.get(job.uid) is work:
                     del self._unstored[job.uid]
             elif result is CommitResult.REJECTED:
                 self._page_rejected = True
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -17,7 +17,7 @@
         "errors",
         "max_time_to_failure_s",
         "fails_everywhere",
-        "finished",
+        "unstored_done_bits",
         "flushed_at",
         "flushing",
         "incomplete",
@@ -39,7 +39,7 @@
         self.share = share
         self.pending: dict[int, None] = {}  # to be started, the next one last
         self.zones: dict[str, int] = {}  # tasks placed per zone
-        self.finished = 0  # bits of tasks that are done but not stored yet
+        self.unstored_done_bits = 0  # bits of tasks that are done but not stored yet
         self.flushing = False
         self.flushed_at = LONG_AGO
         self.retry_at = LONG_AGO
@@ -63,7 +63,7 @@
 
 def begun(work: Work) -> bool:
     """Has any task of the job been started or finished?"""
-    return bool(work.job.done_bits or work.finished or any(work.zones.values()))
+    return bool(work.job.done_bits or work.unstored_done_bits or any(work.zones.values()))
 
 
 def permits(job: Job, machine: Machine) -> bool:
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -117,7 +117,7 @@
     """Store what is finished until nothing is left; the changes it took."""
     made: list[t.Commit] = []
     node.scheduler.finishes._unstored[work.job.uid] = work
-    while work.finished:
+    while work.unstored_done_bits:
         node.store._write_budget.level = 1e9
         node.scheduler.finishes.store_finished(work, complete=False)
         node.store._flush()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -164,7 +164,7 @@
     late, later, fine = work("j-000001", 5.0), work("j-000002", 8.0), work("j-000003", 60.0)
     order = sorted([late, later, fine], key=scheduler.order.urgency)
     assert [w.job.uid for w in order] == ["j-000003", "j-000002", "j-000001"]
-    late.finished = 1
+    late.unstored_done_bits = 1
     assert min([late, later, fine], key=scheduler.order.urgency) is late
 
 
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -28,7 +28,7 @@
     work = node.scheduler.work[JobId("j-000001")]
 
     def flush(bits: int) -> t.Commit:
-        work.finished |= bits
+        work.unstored_done_bits |= bits
         node.scheduler.finishes.store_finished(work, complete=False)
         node.store._flush()
         commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -65,7 +65,7 @@
 def test_the_pages_of_a_hundred_thousand_finished_tasks_fit_the_least_limits() -> None:
     every = (1 << MAX_TASKS) - 1
     node, work = finishing(MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, noted=True)
-    work.finished = every >> 1
+    work.unstored_done_bits = every >> 1
     commits = flushes(node, work)
     for commit in commits:
         assert len(commit.then) <= LEAST_OPS and len(commit.when) <= 4 * LEAST_OPS
@@ -85,12 +85,12 @@
 
 def test_pages_stay_whole_while_a_former_version_may_read_them() -> None:
     node, work = finishing(20_000, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, noted=False)
-    work.finished = (1 << 16_000) | 1
+    work.unstored_done_bits = (1 << 16_000) | 1
     (commit,) = flushes(node, work)
     assert [key for key, _, _ in commit.then] == ["rc/done/j-000001/0"]
     # A page that production wrote larger stays where it is; what is new goes into parts.
     node.store.values["rc/format"] = {"version": 2}
-    work.finished = 1 << 15_000
+    work.unstored_done_bits = 1 << 15_000
     (commit,) = flushes(node, work)
     assert [key for key, _, _ in commit.then] == [f"rc/part/j-000001/{15_000 // PART_BITS}"]
     assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
@@ -99,14 +99,14 @@
 
 def test_a_change_that_is_too_large_is_not_repeated_as_it_is() -> None:
     node, work = finishing(20_000, {}, noted=False)  # the limit comes though nobody named it
-    work.finished = 1 << 16_000
+    work.unstored_done_bits = 1 << 16_000
     node.scheduler.finishes._unstored[work.job.uid] = work
     node.scheduler.finishes.store_finished(work, complete=False)
     node.store._flush()
     commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
     node.context.effects.clear()
     node.handle(node.context.now, t.Outcome(commit.tag, 400))
-    assert work.finished and work.retry_at > node.context.now + 1.0
+    assert work.unstored_done_bits and work.retry_at > node.context.now + 1.0
     node.context.limits = node.context.limits._replace(value_bytes=LEAST)
     (commit,) = flushes(node, work)
     assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -102,7 +102,7 @@
                 node.fleet.placements.remove(placement, "done")
         scheduler.enqueue(old)
         scheduler.enqueue(new)
-        old.finished = new.finished = 0
+        old.unstored_done_bits = new.unstored_done_bits = 0
         old.pending.update({n: None for n in range(20)})
         new.pending.update({n: None for n in range(20)})
         before = len(old.pending)
