--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -49,7 +49,7 @@
         """Schedules the job's next change; at once if it completes the job."""
         if work.flushing:
             return  # scheduled when the pending change is answered
-        at = work.retry_at
+        at = work.flush_retry_at
         if not self._is_complete(work):
             at = max(at, later(work.flushed_at, self._gap_s()))
         self._schedule_at(work.job.uid, at)
@@ -112,9 +112,9 @@
                     del self._unstored[job.uid]
             elif result is CommitResult.REJECTED:
                 self._page_rejected = True
-                work.retry_at = Instant(self.context.now + RETRY_REJECTED_S)
+                work.flush_retry_at = Instant(self.context.now + RETRY_REJECTED_S)
             else:
-                work.retry_at = Instant(self.context.now + RETRY_STORE_S)
+                work.flush_retry_at = Instant(self.context.now + RETRY_STORE_S)
             if self._unstored.get(job.uid) is work:
                 self._schedule(work)
 
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -26,7 +26,7 @@
         "pending",
         "probes",
         "reserved_at",
-        "retry_at",
+        "flush_retry_at",
         "share",
         "started",
         "tried",
@@ -42,7 +42,7 @@
         self.unstored_done_bits = 0  # bits of tasks that are done but not stored yet
         self.flushing = False
         self.flushed_at = LONG_AGO
-        self.retry_at = LONG_AGO
+        self.flush_retry_at = LONG_AGO
         self.not_before = LONG_AGO
         self.prioritised_until = LONG_AGO  # goes first and is not stopped for others until then
         self.errors: dict[MachineId, int] = {}  # where its tasks failed, how often
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -106,7 +106,7 @@
     commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
     node.context.effects.clear()
     node.handle(node.context.now, t.Outcome(commit.tag, 400))
-    assert work.unstored_done_bits and work.retry_at > node.context.now + 1.0
+    assert work.unstored_done_bits and work.flush_retry_at > node.context.now + 1.0
     node.context.limits = node.context.limits._replace(value_bytes=LEAST)
     (commit,) = flushes(node, work)
     assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
