--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -53,7 +53,7 @@
     def running_reported(self, work: Work) -> None:
         """All its tasks run."""
         work.started = True
-        work.incomplete = 0
+        work.incomplete_attempts = 0
 
     def stop_requested(self, work: Work) -> None:
         """One of its tasks was told to stop: then all are."""
@@ -69,8 +69,10 @@
                 # The others still fetch, and would give that up: this one is placed again.
                 work.not_before = Instant(now + INCOMPLETE_FIRST_S)
             elif why == "incomplete" and not work.ending:
-                pause = min(INCOMPLETE_MOST_S, INCOMPLETE_FIRST_S * 2 ** min(work.incomplete, 8))
-                work.incomplete += 1
+                pause = min(
+                    INCOMPLETE_MOST_S, INCOMPLETE_FIRST_S * 2 ** min(work.incomplete_attempts, 8)
+                )
+                work.incomplete_attempts += 1
                 work.not_before = Instant(now + pause)
                 self.context.log(
                     "warning",
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -320,7 +320,9 @@
             elif work.fails_everywhere:
                 failing.append(work)
             elif now < work.not_before:
-                work.wait_reason = INCOMPLETE if work.incomplete else "its start was refused"
+                work.wait_reason = (
+                    INCOMPLETE if work.incomplete_attempts else "its start was refused"
+                )
                 self._due_at = min(self._due_at, work.not_before)
             else:
                 waiting.append(work)
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -48,7 +48,7 @@
             "tasks": work.job.spec.tasks,
             "attempt": work.attempt,
             "phase": node.scheduler.gangs.phase(work),
-            "incomplete": work.incomplete,
+            "incomplete": work.incomplete_attempts,
         }
         for work in list(node.scheduler.work.values())
         if work.job.spec.gang
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -20,7 +20,7 @@
         "unstored_done_bits",
         "flushed_at",
         "flushing",
-        "incomplete",
+        "incomplete_attempts",
         "job",
         "not_before",
         "pending",
@@ -58,7 +58,7 @@
         self.started = False  # all its tasks ran at the same time, or may have
         self.ending = False  # the attempt is over, though not everywhere yet
         self.reserved_at = LONG_AGO  # since when room is reserved for it
-        self.incomplete = 0  # attempts in turn that were not complete in time
+        self.incomplete_attempts = 0  # attempts in turn that were not complete in time
 
 
 def begun(work: Work) -> bool:
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -62,7 +62,7 @@
         t.TaskReport(placement.task, placement.attempt, "ended", "incomplete"),
         placement.job,
     )
-    assert work.ending and work.not_before > node.context.now and work.incomplete == 1
+    assert work.ending and work.not_before > node.context.now and work.incomplete_attempts == 1
     assert any(isinstance(e, t.Log) and "not there" in e.text for e in node.context.effects)
     assert not any(node.context.now < m.quarantined_until for m in node.fleet.machines.values())
     assert not work.errors and not work.fails_everywhere
