--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -105,9 +105,9 @@
                 self.fleet.placements.stop(placement)
 
     def _put_off(self, work: Work) -> None:
-        pause = min(PROBE_MOST_S, PROBE_FIRST_S * 2 ** min(work.probes, 8))
+        pause = min(PROBE_MOST_S, PROBE_FIRST_S * 2 ** min(work.probe_count, 8))
         work.not_before = Instant(self.context.now + pause)
-        work.probes += 1
+        work.probe_count += 1
 
     def note_success(self, work: Work) -> None:
         """Something of it goes well, so what failed was chance, or the machines' fault."""
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -24,7 +24,7 @@
         "job",
         "not_before",
         "pending",
-        "probes",
+        "probe_count",
         "reserved_at",
         "flush_retry_at",
         "share",
@@ -51,7 +51,7 @@
         )
         self.fails_everywhere = False  # wherever it is started, as it seems
         self.tried: set[int] = set()  # tasks of which machines may still list a former attempt
-        self.probes = 0  # tries since that was found
+        self.probe_count = 0  # tries since that was found
         self.wait_reason = ""  # why its next task waits
         # Of a gang alone, which has one attempt for all its tasks:
         self.attempt: Attempt | None = None
