--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -144,7 +144,7 @@
         if not self.authority.live:
             self.authority.tick()  # a restart is short of time: workers' leases run
         self.scheduler.finishes.flush()
-        self.scheduler.turn()
+        self.scheduler.run_turns()
         self.fleet.commands.push()
         effects, context.effects = context.effects, []
         return effects
@@ -308,7 +308,7 @@
             # proves its tasks gone. One that heard them after all comes with a new session.
             self._answer(beat, ReportAnswer(beat.request, 503))
             return
-        self.scheduler.turn()
+        self.scheduler.run_turns()
         self.fleet.answered(machine)
         orders = self.fleet.commands.orders(machine, answering=True)  # may raise the token
         self.fleet.commands.pace(machine)
