--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -277,14 +277,14 @@
         self.preemption.begin()
         for holding in list(self.shares.owned.values()):
             if self.shares.may_command(holding.number):
-                self._turn(holding)
+                self._run_turn(holding)
             else:
                 self._dirty = True
         # A long queue is gone through less often: what a turn costs puts the next one off.
         cost = self.budget.cost_s() + self._queued / QUEUED_PER_S
         self._next_turn = Instant(now + min(TURN_GAP_S + cost, LONGEST_GAP_S))
 
-    def _turn(self, holding: Holding) -> None:
+    def _run_turn(self, holding: Holding) -> None:
         waiting, failing, unsettled = self._waiting(holding)
         if not waiting and not failing:
             self.unmet[holding.number] = []
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -145,7 +145,7 @@
     later_work = Work(later, holding.number)
     later_work.pending = {0: None}
     node.scheduler.enqueue(later_work)
-    node.scheduler._turn(holding)
+    node.scheduler._run_turn(holding)
     assert TaskId(later.uid, 0) not in node.fleet.placements.by_task
     # What can't hold such tasks hides none of them.
     hiding.record = hiding.record._replace(spot=True)
@@ -153,7 +153,7 @@
     assert not unlocated_tasks.by_team(holding, unlocated_tasks.hiding_places(holding))
     holding.settled = hiding.settled = True
     work.pending = {}
-    node.scheduler._turn(holding)
+    node.scheduler._run_turn(holding)
     assert TaskId(later.uid, 0) in node.fleet.placements.by_task, [
         (m.id, m.room, node.fleet.usable(m), node.scheduler.work[later.uid].wait_reason)
         for m in node.fleet.of_share(holding.number)
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -47,7 +47,7 @@
         node.context.now, dict.fromkeys("abcd", 12.0), 24.0
     )
     share.settled = True
-    scheduler._turn(share)
+    scheduler._run_turn(share)
     placed = {p.job.spec.image for p in machines[0].placements.values() if p.job is not None}
     assert placed == {"a"}
 
@@ -60,7 +60,7 @@
     scheduler.enqueue(work)
     for m in node.fleet.of_share(share.number):
         m.images["a"] = 1.0
-    scheduler._turn(share)
+    scheduler._run_turn(share)
     assert len(work.pending) < 20
 
 
@@ -106,7 +106,7 @@
         old.pending.update({n: None for n in range(20)})
         new.pending.update({n: None for n in range(20)})
         before = len(old.pending)
-        scheduler._turn(share)
+        scheduler._run_turn(share)
         assert any(old.zones.values()), "its first task goes first"
         started += before - len(old.pending)
         total = sum(len(m.placements) for m in node.fleet.of_share(share.number))
