--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -95,7 +95,7 @@
             context, self.store, self.shares, self.jobs, self.quota, self.policy
         )
         self.fleet = Fleet(context, self.store, self.shares, self.jobs, self.scheduler)
-        self.scheduler.join(self.fleet, self.authority, self.versions)
+        self.scheduler.connect(self.fleet, self.authority, self.versions)
         self.shares.all_heard = self.fleet.all_heard
         self.rental = Rental(
             context,
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -78,7 +78,7 @@
         self.image_supply = ImageSupply(context)
         self._queued = 0  # jobs that waited in the newest turn
 
-    def join(self, fleet: Fleet, authority: Authority, versions: Versions) -> None:
+    def connect(self, fleet: Fleet, authority: Authority, versions: Versions) -> None:
         """The ledger tells the scheduler of changes, and the scheduler changes the ledger: the
         node builds the two for each other."""
         self.fleet = fleet
