--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -191,7 +191,7 @@
         key = _DemandKey(job.size, spec.rank, spec.spot, spec.types, spec.zone, closed_zones, block)
         counts = found.setdefault(key, [0, 0])
         counts[0] += count
-        counts[1] += scheduler.needed(job, count)
+        counts[1] += scheduler.tasks_needing_machines(job, count)
         ages[key] = max(ages.get(key, 0.0), context.now - job.submitted)
     return [
         DemandEntry(
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -389,7 +389,7 @@
         again = now + PROBE_AGAIN_S if now >= work.not_before or work.zones else work.not_before
         self._due_at = min(self._due_at, Instant(again))
 
-    def needed(self, job: Job, count: int) -> int:
+    def tasks_needing_machines(self, job: Job, count: int) -> int:
         """For how many of the waiting tasks to have machines: those without a deadline that end
         long before a machine has paid for itself follow each other on the same ones."""
         spec = job.spec
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -179,7 +179,7 @@
 
 def test_a_flood_of_short_tasks_is_not_hired_for_one_machine_each() -> None:
     node = owner_of_some(ready(machines=6))[0]
-    needed = node.scheduler.needed
+    needed = node.scheduler.tasks_needing_machines
     short = Job(spec("j-000500", tasks=25_000, estimate_s=4.0), Stamp(1))
     assert needed(short, 25_000) == 1667 and needed(short, 1) == 1
     assert needed(Job(spec("j-000501", estimate_s=200.0), Stamp(1)), 70) == 70
