--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -313,7 +313,7 @@
         now = self.context.now
         waiting: list[Work] = []
         failing: list[Work] = []
-        unsettled = self.unlocated.hiding_places(holding)
+        unsettled = self.unlocated.unsettled_representatives(holding)
         for work in self._with_pending(holding.number):
             if self.unlocated.may_hide(work.job, holding, unsettled):
                 work.wait_reason = "share not settled"
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -41,7 +41,7 @@
                 break
             del self._ending[uid]
 
-    def hiding_places(self, holding: Holding) -> list[Machine]:
+    def unsettled_representatives(self, holding: Holding) -> list[Machine]:
         """One machine of each kind and place among those that may hold unknown tasks."""
         if holding.settled:
             return []
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -150,7 +150,7 @@
     # What can't hold such tasks hides none of them.
     hiding.record = hiding.record._replace(spot=True)
     unlocated_tasks = node.scheduler.unlocated
-    assert not unlocated_tasks.by_team(holding, unlocated_tasks.hiding_places(holding))
+    assert not unlocated_tasks.by_team(holding, unlocated_tasks.unsettled_representatives(holding))
     holding.settled = hiding.settled = True
     work.pending = {}
     node.scheduler._run_turn(holding)
@@ -185,7 +185,7 @@
     unlocated_tasks = node.scheduler.unlocated
 
     def unlocated() -> float:
-        found = unlocated_tasks.by_team(holding, unlocated_tasks.hiding_places(holding))
+        found = unlocated_tasks.by_team(holding, unlocated_tasks.unsettled_representatives(holding))
         return found["team-0"].cpus if found else 0.0  # type: ignore[index]
 
     assert unlocated() == 6.0
