--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -38,7 +38,7 @@
         holding: Holding,
         waiting: list[Work],
         usable: Callable[[], list[Machine]],
-        roomy: list[Machine],
+        machines_with_room: list[Machine],
     ) -> frozenset[str]:
         """While more waits than there is room for, images that enough machines hold for their
         part of what waits. Their tasks leave machines without the image to others whose image
@@ -48,7 +48,7 @@
             cpus = len(work.pending) * work.job.size.cpus
             wanted[work.job.spec.image] = wanted.get(work.job.spec.image, 0.0) + cpus
         total = sum(wanted.values())
-        if total <= sum(m.room.cpus for m in roomy):
+        if total <= sum(m.room.cpus for m in machines_with_room):
             return frozenset()
         held = self._held.get(holding.number, NEVER_COUNTED)
         if self.context.now >= held.at + HELD_EVERY_S:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -296,7 +296,7 @@
         urgency = {work.job.uid: self.order.urgency(work) for work in waiting}
         waiting.sort(key=lambda work: urgency[work.job.uid])
         turn = self._begin(holding, waiting, failing, unsettled)
-        plenty = self.image_supply.plentiful(holding, waiting, turn.usable, turn.roomy)
+        plenty = self.image_supply.plentiful(holding, waiting, turn.usable, turn.machines_with_room)
         self.migrations.serve(turn)
         self.placement.serve_overdue(turn, waiting)
         # Class by class: what leaves a machine to others must not stop them for it at once.
@@ -359,11 +359,11 @@
         least = Size(*map(min, zip(*sizes, strict=True)))
         # Most machines of a busy fleet are full: whether they are usable is asked only when
         # something might be stopped there.
-        roomy = [m for m in machines.with_room(least) if self.fleet.usable(m)]
+        machines_with_room = [m for m in machines.with_room(least) if self.fleet.usable(m)]
         return Turn(
             holding,
             usable,
-            roomy,
+            machines_with_room,
             self.unlocated.by_team(holding, unsettled),
             self.gang_placement.reserve(waiting, usable),
         )
@@ -375,7 +375,7 @@
             spec = work.job.spec
             if spec.image in plenty and not spec.service and not spec.gang:
                 put_off.append(work)
-                held = [m for m in turn.roomy if fetches_or_holds(spec.image, m)]
+                held = [m for m in turn.machines_with_room if fetches_or_holds(spec.image, m)]
                 self.placement.serve(turn, work, held, last=False)
             else:
                 self.placement.serve_last(turn, work)
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -76,7 +76,9 @@
             most = max(first, int(credit))
             if most and before:
                 fits = [
-                    m for m in self._fitting(turn, work, turn.roomy) if self._open(turn, work, m)
+                    m
+                    for m in self._fitting(turn, work, turn.machines_with_room)
+                    if self._open(turn, work, m)
                 ]
                 self._fill(turn, work, fits, False, most)
                 credit -= max(0, before - len(work.pending) - first)
@@ -86,7 +88,7 @@
 
     def serve_last(self, turn: Turn, work: Work) -> None:
         """The last try of a turn: it may stop lesser work, and what is missing is noted."""
-        missing = self.serve(turn, work, turn.roomy, last=True)
+        missing = self.serve(turn, work, turn.machines_with_room, last=True)
         if missing:
             closed = tuple(z for z in sorted(work.zones) if not zone_allows_task(work, z))
             turn.unmet.append(UnmetDemand(work.job, missing, closed))
@@ -127,7 +129,7 @@
         work.wait_reason = FAILS
         if self.context.now < work.not_before or any(work.zones.values()):
             return
-        fits = self._fitting(turn, work, turn.roomy)
+        fits = self._fitting(turn, work, turn.machines_with_room)
         fits = [m for m in fits if m.id not in work.errors] or fits
         fits = [m for m in fits if work.job.spec.image in m.images] or fits
         if fits and work.job.spec.gang:
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -29,7 +29,7 @@
 
     holding: Holding
     usable: Callable[[], list[Machine]]  # all that new tasks may go to, found when first asked
-    roomy: list[Machine]  # those with room for the smallest waiting task
+    machines_with_room: list[Machine]  # those with room for the smallest waiting task
     unlocated: Mapping[Team, Size]  # tasks that may run where this owner can't see them yet
     reserved: Mapping[MachineId, JobId]  # machines, each for a gang
     claimed: set[MachineId] = field(default_factory=set)  # room is being made there
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -102,7 +102,7 @@
             and least.fits(m.room)
             and scheduler.fleet.usable(m)
         ]
-        assert turn.roomy == plain, "the same machines in the same order"
+        assert turn.machines_with_room == plain, "the same machines in the same order"
         done["turns"] += 1
         done["with room"] += bool(plain)
         return turn
