--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -314,7 +314,7 @@
         waiting: list[Work] = []
         failing: list[Work] = []
         unsettled = self.unlocated.unsettled_representatives(holding)
-        for work in self._with_pending(holding.number):
+        for work in self._work_with_pending_tasks(holding.number):
             if self.unlocated.may_hide(work.job, holding, unsettled):
                 work.wait_reason = "share not settled"
             elif work.fails_everywhere:
@@ -328,7 +328,7 @@
                 waiting.append(work)
         return waiting, failing, unsettled
 
-    def _with_pending(self, share: ShareNo) -> list[Work]:
+    def _work_with_pending_tasks(self, share: ShareNo) -> list[Work]:
         """Work of the share that has tasks to start; what has none is not looked at again."""
         pending = self._pending.get(share, {})
         for uid in [uid for uid, work in pending.items() if not work.pending]:
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -62,7 +62,7 @@
         assert ids(machines) == of_share
         check_share(node, machines, node.context.now)
         plain = [w for w in scheduler.work.values() if w.pending and w.share == holding.number]
-        assert {w.job.uid for w in scheduler._with_pending(holding.number)} == {
+        assert {w.job.uid for w in scheduler._work_with_pending_tasks(holding.number)} == {
             w.job.uid for w in plain
         }
     kinds = Counter((job.spec.team, job.spec.cpus) for job in node.jobs.open_jobs())
