--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -295,7 +295,7 @@
             return
         urgency = {work.job.uid: self.order.urgency(work) for work in waiting}
         waiting.sort(key=lambda work: urgency[work.job.uid])
-        turn = self._begin(holding, waiting, failing, unsettled)
+        turn = self._prepare_turn(holding, waiting, failing, unsettled)
         plenty = self.image_supply.plentiful(holding, waiting, turn.usable, turn.machines_with_room)
         self.migrations.serve(turn)
         self.placement.serve_overdue(turn, waiting)
@@ -341,7 +341,7 @@
         most = MOST_LISTED * len(self.fleet.of_share(holding.number))
         return holding.has_attempt_numbers(min(pending, most), self.store.applied)
 
-    def _begin(
+    def _prepare_turn(
         self,
         holding: Holding,
         waiting: list[Work],
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -83,7 +83,7 @@
 def checked() -> Iterator[Counter[str]]:
     """Has each turn compared with a plain pass, and now and then everything else."""
     done: Counter[str] = Counter()
-    begin, handle = Scheduler._begin, Node.handle
+    begin, handle = Scheduler._prepare_turn, Node.handle
 
     def checked_begin(
         scheduler: Scheduler,
