--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -68,10 +68,10 @@
     holding._attempts = (int(node.store.applied - holding.epoch) + 1 << COUNTER_BITS) - 1
     job = Job(spec("j-000001", tasks=1), Stamp(holding.epoch + 1))
     node.scheduler._open(job, holding.number)
-    node.scheduler._turn(holding)
+    node.scheduler._run_turn(holding)
     assert node.scheduler.work[job.uid].pending
     node.store.applied = Stamp(node.store.applied + 1)
-    node.scheduler._turn(holding)
+    node.scheduler._run_turn(holding)
     assert not node.scheduler.work[job.uid].pending
 
 
