--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -1,40 +1,46 @@
-"""What a turn may weigh before it looks at samples of machines instead of all."""
+"""Limits how many machines one scheduling turn evaluates."""
 
 from __future__ import annotations
 
 from .context import Context
 from .machine import Machine
 
-WEIGHED_PER_S = 50_000.0  # machines weighed in a turn put the next one off by as much
-PLACEMENTS_WEIGH = 4  # tasks that might be stopped, weighed in the time of a machine
+EVALUATIONS_PER_S = 50_000.0  # rate by which a turn's evaluations delay the next turn
+TASKS_PER_EVALUATION = 4  # preemption candidates that cost as much as evaluating one machine
 
 
 class TurnBudget:
-    """Counts what a turn weighs."""
+    """Counts the machines evaluated in a turn and limits them by sampling."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self._weighed = 0
+        self._evaluated = 0
 
     def begin(self) -> None:
-        """A turn begins."""
-        self._weighed = 0
+        """Resets the count at the beginning of a turn."""
+        self._evaluated = 0
 
     def cost_s(self) -> float:
-        """Seconds by which the turn's work puts off the next one."""
-        return self._weighed / WEIGHED_PER_S
+        """Returns the seconds by which the turn's evaluations delay the next turn."""
+        return self._evaluated / EVALUATIONS_PER_S
 
     def sample(self, machines: list[Machine], least: int = 0) -> list[Machine]:
-        """All machines while a turn's budget lasts; then, as more is asked than a turn can
-        weigh, a random sample. Never more than the budget, however many there are."""
-        most = max(self.context.operators.turn_budget, least)
-        if self._weighed >= self.context.operators.turn_budget:
-            most = max(self.context.operators.sample, least)
-        if len(machines) > most:
-            machines = self.context.rng.sample(machines, most)
-        self._weighed += len(machines)
+        """Returns the machines to evaluate: all of them, or a random sample.
+
+        A sample has at most `turn_budget` machines, or `sample` machines once the turn has used up
+        its budget, but at least `least` of them if there are as many.
+        """
+        max_machines = max(self.context.operators.turn_budget, least)
+        if self._evaluated >= self.context.operators.turn_budget:
+            max_machines = max(self.context.operators.sample, least)
+        if len(machines) > max_machines:
+            machines = self.context.rng.sample(machines, max_machines)
+        self._evaluated += len(machines)
         return machines
 
     def charge_tasks(self, machines: list[Machine]) -> None:
-        """What there is to stop is weighed task by task, and a machine may hold a hundred."""
-        self._weighed += sum(len(m.placements) for m in machines) // PLACEMENTS_WEIGH
+        """Adds the cost of evaluating each task on the machines for preemption.
+
+        Preemption evaluates task by task, and a machine may hold a hundred of them.
+        """
+        self._evaluated += sum(len(m.placements) for m in machines) // TASKS_PER_EVALUATION
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -1,8 +1,8 @@
-"""Where the whole of a gang goes: all of its tasks or none, by the same score as any task.
+"""Places gangs: all tasks of a gang or none, by the same score as single tasks.
 
 Extension of the paper's placement from single tasks to sets: the tasks are placed one after the
-other on a scratch copy of the allocations, each where it scores best given those before it, and
-only a set that is complete, in one zone if the job says so, is carried out.
+other on a copy of the allocations, each where it scores best given those before it. Only a
+complete set, in one zone if the job demands it, is carried out.
 """
 
 from __future__ import annotations
@@ -25,27 +25,31 @@
 from .turn import Turn
 from .work import Work, fetch_s, permits, zone_allows_task
 
-Score = Callable[[Job, Machine, Size], float]
+ScoreFunction = Callable[[Job, Machine, Size], float]
 
 NO_ROOM = "no room for the whole gang"
-# What falls free in one place is reserved for a gang that waits longer; where its class is promised
-# to start within some time, for one that has waited half of that.
+# Room is reserved for a gang that has waited this long; for a gang of a class that is promised to
+# start within some time, after that time divided by the divisor.
 RESERVE_AFTER_S = 15.0
-FREE_SOON_S = 60.0  # what will run longer is not counted on
-RESERVED_S = 60.0  # for so long at a time
-RESERVED_PART = 0.2  # of a share's CPUs, reserved for gangs at the most, beyond the first
+WAIT_LIMIT_DIVISOR = 2
+FREE_SOON_S = 60.0  # tasks that will run longer are not expected to make room
+RESERVATION_S = 60.0  # how long room is reserved for a gang at a time
+RESERVATION_PERIOD_S = 2 * RESERVATION_S  # between the beginnings of two reservations for a gang
+# Of a share's CPUs, the part that may be reserved for gangs; the first reservation may exceed it.
+MAX_RESERVED_FRACTION = 0.2
+SAMPLED_MACHINES_PER_TASK = 4
 
 
 class Plan(NamedTuple):
-    """Where all tasks of a gang would go."""
+    """A machine for each task of a gang."""
 
-    slowest: float  # seconds until the last image is there
-    score: float
-    places: list[tuple[int, Machine]]  # task numbers and where they go
+    slowest_fetch_s: float  # until the last image is fetched
+    score: float  # sum over the tasks; higher is better
+    places: list[tuple[int, Machine]]  # task numbers and their machines
 
 
 class GangPlacement:
-    """Plans and starts whole gangs."""
+    """Plans and starts gangs, and reserves room for those that wait long."""
 
     def __init__(
         self,
@@ -56,8 +60,8 @@
         gangs: Gangs,
         preemption: Preemption,
         budget: TurnBudget,
-        score: Score,
-        within: Mapping[str, float],
+        score: ScoreFunction,
+        wait_limits_s: Mapping[str, float],
     ) -> None:
         self.context = context
         self.shares = shares
@@ -67,16 +71,20 @@
         self.preemption = preemption
         self.budget = budget
         self.score = score
-        self.wait_limits_s = within  # seconds that a class is promised to start in
+        self.wait_limits_s = wait_limits_s  # promised time to start, by job class
 
-    def serve(self, turn: Turn, work: Work, machines: Iterable[Machine], last: bool) -> int:
-        """Start all that is pending of the gang, or nothing; returns how many tasks need room.
-        Only the `last` try may stop others."""
-        job, n = work.job, len(work.pending)
+    def serve(self, turn: Turn, work: Work, machines: Iterable[Machine], may_preempt: bool) -> int:
+        """Starts all pending tasks of the gang, or none; returns how many tasks lack room.
+
+        With `may_preempt`, lesser work is preempted if the gang finds no room.
+        """
+        job, count = work.job, len(work.pending)
         work.wait_reason = self.gangs.check_startable(work)
-        if work.wait_reason or not n:
+        if work.wait_reason or not count:
             return 0
-        if not self.quota.allows(job, turn.unlocated_of(job.spec.team).plus(self.gangs.size(work))):
+        if not self.quota.allows(
+            job, turn.unlocated_of(job.spec.team).plus(self.gangs.size_after_first(work))
+        ):
             work.wait_reason = "team limit"
             return 0
         fits = [
@@ -90,9 +98,9 @@
         plan = self._plan(work, fits)
         if plan is None:
             work.wait_reason = NO_ROOM
-            if last:
+            if may_preempt:
                 self.preemption.make_room_for_gang(turn, work)
-            return n
+            return count
         holding = self.shares.owned[work.share]
         attempt = work.attempt if any(work.zones.values()) else None
         attempt = holding.next_attempt() if attempt is None else attempt
@@ -103,71 +111,81 @@
             f"gang {job.uid} placed on"
             f" {len({m.id for _, m in plan.places})} machines,"
             f" {self.context.now - job.submitted:.2f} s after its job,"
-            f" images there in {plan.slowest:.1f} s",
+            f" images there in {plan.slowest_fetch_s:.1f} s",
         )
         return 0
 
     def _plan(self, work: Work, fits: list[Machine]) -> Plan | None:
+        """Returns the best plan for the gang, or None if its pending tasks don't all fit."""
         if not work.job.spec.together:
-            return self._fill(work, fits)
+            return self._plan_on(work, fits)
         zones: dict[str, list[Machine]] = {}
         for machine in fits:
             zones.setdefault(machine.record.zone, []).append(machine)
         plans = [
-            plan for zone in sorted(zones) if (plan := self._fill(work, zones[zone])) is not None
+            plan for zone in sorted(zones) if (plan := self._plan_on(work, zones[zone])) is not None
         ]
-        return min(plans, key=lambda p: (p.slowest, -p.score), default=None)
+        return min(plans, key=lambda p: (p.slowest_fetch_s, -p.score), default=None)
 
-    def _fill(self, work: Work, machines: list[Machine]) -> Plan | None:
-        job, n = work.job, len(work.pending)
+    def _plan_on(self, work: Work, machines: list[Machine]) -> Plan | None:
+        """Returns a plan on these machines, or None if it can't be completed."""
+        job, count = work.job, len(work.pending)
         room = {
             m.id: min(count_fitting(job.size, m.room), MOST_LISTED - len(m.placements))
             for m in machines
         }
-        if sum(room.values()) < n:
+        if sum(room.values()) < count:
             return None
-        pool = self.budget.sample(machines, 4 * n)
+        pool = self.budget.sample(machines, SAMPLED_MACHINES_PER_TASK * count)
         used = {m.id: m.used for m in pool}
-        left = {zone: self.gangs.most_in_zone(work, zone) for zone in {m.record.zone for m in pool}}
-        heap = [(-self.score(job, m, m.used), k, m) for k, m in enumerate(pool)]
+        left_in_zone = {
+            zone: self.gangs.max_tasks_in_zone(work, zone) for zone in {m.record.zone for m in pool}
+        }
+        heap = [(-self.score(job, m, m.used), index, m) for index, m in enumerate(pool)]
         heapq.heapify(heap)
         pending = list(reversed(work.pending))
         places: list[tuple[int, Machine]] = []
-        total = slowest = 0.0
+        total = slowest_fetch_s = 0.0
         while pending and heap:
-            score, k, machine = heap[0]
-            number = self._number_for(work, machine, pending)
-            if left[machine.record.zone] <= 0 or room[machine.id] <= 0 or number is None:
+            negative_score, index, machine = heap[0]
+            number = self._startable_task(work, machine, pending)
+            if left_in_zone[machine.record.zone] <= 0 or room[machine.id] <= 0 or number is None:
                 heapq.heappop(heap)
                 continue
             pending.remove(number)
             places.append((number, machine))
-            total -= score
-            slowest = max(slowest, fetch_s(job, machine))
-            left[machine.record.zone] -= 1
+            total -= negative_score
+            slowest_fetch_s = max(slowest_fetch_s, fetch_s(job, machine))
+            left_in_zone[machine.record.zone] -= 1
             room[machine.id] -= 1
             used[machine.id] = used[machine.id].plus(job.size)
-            heapq.heapreplace(heap, (-self.score(job, machine, used[machine.id]), k, machine))
-        return Plan(slowest, total, places) if not pending else None
+            heapq.heapreplace(heap, (-self.score(job, machine, used[machine.id]), index, machine))
+        return Plan(slowest_fetch_s, total, places) if not pending else None
 
     @staticmethod
-    def _number_for(work: Work, machine: Machine, pending: list[int]) -> int | None:
-        """A task of which the machine does not list a former start: that would be refused, or
-        not be carried out at all."""
+    def _startable_task(work: Work, machine: Machine, pending: list[int]) -> int | None:
+        """Returns the first pending task that can start on the machine, or None.
+
+        The worker refuses or ignores the start of a task of which it still lists a former attempt.
+        """
         for number in pending:
-            if not (number in work.tried and machine.holds(TaskId(work.job.uid, number))):
+            if not (number in work.attempted and machine.holds(TaskId(work.job.uid, number))):
                 return number
         return None
 
-    # --- gangs that wait long ------------------------------------------------------------
+    # --- reservations --------------------------------------------------------------------
 
     def reserve(
         self, waiting: list[Work], usable: Callable[[], list[Machine]]
     ) -> dict[MachineId, JobId]:
-        """Single tasks would take whatever falls free before it is enough for a gang. So for those
-        that have waited longest, where least is missing, nothing else is started for a while;
-        no more machines than they need, none whose work will take long, and a part of all only."""
-        aged = [
+        """Returns the machines to reserve, each with the gang that it is reserved for.
+
+        Without reservations, single tasks would take freed room before it is enough for a gang.
+        Room is reserved for the gangs that have waited longest, for a limited time, on the machines
+        that lack least room: no more machines than the gang needs, none whose tasks will run long,
+        and only a part of the share's CPUs.
+        """
+        long_waiting = [
             w
             for w in waiting
             if w.job.spec.gang
@@ -175,65 +193,71 @@
             and w.attempt is None
             and self.context.now > w.job.submitted + self._reserve_after_s(w.job)
         ]
-        if not aged:
+        if not long_waiting:
             return {}
         reserved: dict[MachineId, JobId] = {}
         machines = usable()
-        left = RESERVED_PART * sum(m.type.cpus for m in machines if m.type)
-        for work in sorted(aged, key=lambda w: (w.job.submitted, w.job.uid)):
-            if not self.quota.allows(work.job, self.gangs.size(work)):
+        cpus_left = MAX_RESERVED_FRACTION * sum(m.type.cpus for m in machines if m.type)
+        for work in sorted(long_waiting, key=lambda w: (w.job.submitted, w.job.uid)):
+            if not self.quota.allows(work.job, self.gangs.size_after_first(work)):
                 continue
-            # What does not fall free in that time falls free too seldom to be waited for.
-            if self.context.now > work.reserved_at + 2 * RESERVED_S:
+            # Room that does not fall free during a reservation falls free too seldom to wait for:
+            # the reservation pauses until the next period.
+            if self.context.now > work.reserved_at + RESERVATION_PERIOD_S:
                 work.reserved_at = self.context.now
-            elif self.context.now > work.reserved_at + RESERVED_S:
+            elif self.context.now > work.reserved_at + RESERVATION_S:
                 continue
-            found = self._soonest(work, [m for m in machines if m.id not in reserved])
+            found = self._least_lacking(work, [m for m in machines if m.id not in reserved])
             if found is None:
                 continue
-            left -= sum(m.type.cpus for m in found if m.type)
-            if reserved and left < 0:
+            cpus_left -= sum(m.type.cpus for m in found if m.type)
+            if reserved and cpus_left < 0:
                 break
             reserved.update((m.id, work.job.uid) for m in found)
         return reserved
 
     def _reserve_after_s(self, job: Job) -> float:
-        within = self.wait_limits_s.get(job.spec.lane)
-        return RESERVE_AFTER_S if within is None else within / 2
+        """Returns the seconds that a gang waits before room is reserved for it."""
+        wait_limit_s = self.wait_limits_s.get(job.spec.lane)
+        return RESERVE_AFTER_S if wait_limit_s is None else wait_limit_s / WAIT_LIMIT_DIVISOR
+
+    def _least_lacking(self, work: Work, machines: list[Machine]) -> list[Machine] | None:
+        """Returns the machines where least room has to fall free for the whole gang.
 
-    def _soonest(self, work: Work, machines: list[Machine]) -> list[Machine] | None:
-        """The machines, in one zone if it must be, where least has to fall free for the whole."""
-        job, n = work.job, len(work.pending)
+        They are in one zone if the job demands it. None: they will not have enough room soon.
+        """
+        job, count = work.job, len(work.pending)
+        # By zone: tasks that fit now, tasks that fit soon, and the machine.
         zones: dict[str, list[tuple[int, int, Machine]]] = {}
         for machine in machines:
-            soon = count_fitting(job.size, self._soon(machine))
+            soon = count_fitting(job.size, self._room_soon(machine))
             if soon and permits(job, machine):
                 zone = machine.record.zone if job.spec.together else ""
                 free = count_fitting(job.size, machine.room)
                 zones.setdefault(zone, []).append((free, soon, machine))
         best: tuple[int, list[Machine]] | None = None
         for zone in sorted(zones):
-            lacks, chosen, there = 0, [], 0
+            lacking, chosen, available = 0, [], 0
             for free, soon, machine in sorted(
-                zones[zone], key=lambda z: (z[0] - z[1], -z[1], z[2].id)
+                zones[zone], key=lambda entry: (entry[0] - entry[1], -entry[1], entry[2].id)
             ):
-                if there >= n:
+                if available >= count:
                     break
-                there += soon
-                lacks += soon - free
+                available += soon
+                lacking += soon - free
                 chosen.append(machine)
-            if there >= n and (best is None or lacks < best[0]):
-                best = (lacks, chosen)
+            if available >= count and (best is None or lacking < best[0]):
+                best = (lacking, chosen)
         return best[1] if best else None
 
-    def _soon(self, machine: Machine) -> Size:
-        """Its room once what ends soon has ended."""
+    def _room_soon(self, machine: Machine) -> Size:
+        """Returns the machine's room once the tasks that stop or end soon are gone."""
         now, room = self.context.now, machine.room
         for placement in machine.placements.values():
             job = placement.job
             if not placement.active or job is None or job.spec.service:
                 continue
-            ran = now - placement.ran_since if placement.ran_since else 0.0
-            if placement.stopping or job.spec.estimate_s - ran < FREE_SOON_S:
+            ran_s = now - placement.ran_since if placement.ran_since else 0.0
+            if placement.stopping or job.spec.estimate_s - ran_s < FREE_SOON_S:
                 room = room.plus(placement.size)
         return room if machine.type else ZERO_SIZE
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -1,13 +1,14 @@
 """Gangs: jobs of which all tasks run at the same time or none does.
 
-A gang is *idle* (nothing of it is on a machine), *placed* (all its tasks were ordered to start,
-with one attempt number, and wait for each other), *running*, or *ending* (the attempt is over;
-its tasks stay where they are until they are surely gone). Only an idle gang begins a new attempt.
+A gang is *idle* (none of its tasks is on a machine), *placed* (all tasks are ordered to start with
+one attempt number and wait for each other), *running*, or *ending* (the attempt is over; its tasks
+keep their placements until they are certainly gone). Only an idle gang begins a new attempt.
 
-- Before the gang started, a task that is lost is replaced under the same attempt number: the
+- Before the gang has started, a lost task is replaced under the same attempt number while the
   others keep waiting. Once it may have started, a lost task ends the attempt.
-- It is stopped whole: all its tasks are told at once, with time to save if all can be told.
-- It is done as a whole: the first task that is done says so of all.
+- A gang is stopped as a whole: all its tasks are ordered to stop at once, with time to save if
+  every order can be delivered.
+- A gang is done as a whole: as soon as one task is done, all are.
 """
 
 from __future__ import annotations
@@ -20,29 +21,32 @@
 from .machine import Placement
 from .machines import Fleet
 from .placement import Size
-from .work import Work, loss, stop_grace_s
+from .work import Work, lost_work_s, stop_grace_s
 
-INCOMPLETE_FIRST_S = 1.0  # before a gang that was not complete in time is tried again
-INCOMPLETE_MOST_S = 30.0
+INCOMPLETE_BACKOFF_S = 1.0  # before a gang that was not complete in time is tried again
+MAX_INCOMPLETE_BACKOFF_S = 30.0
+MAX_BACKOFF_DOUBLINGS = 8
 INCOMPLETE = "it was not complete in time"
+# A worker whose last report is older than this many report intervals may miss a stop order.
+MAX_SILENT_INTERVALS = 2.5
 
 
 class Gangs:
-    """Keeps the phase of each gang and stops gangs as a whole."""
+    """Tracks the phase of each gang and stops gangs as a whole."""
 
     def __init__(self, context: Context, fleet: Fleet, work: Mapping[JobId, Work]) -> None:
         self.context = context
         self.fleet = fleet
         self.work = work
 
-    # --- what the ledger tells -----------------------------------------------------------
+    # --- changes of placements -----------------------------------------------------------
 
     def placement_added(self, work: Work, placement: Placement) -> None:
-        """Placed here, or found on a machine after a takeover."""
+        """Records a task placed here, or found on a machine after a takeover."""
         if work.attempt is None:
             work.attempt = placement.attempt
         elif placement.attempt != work.attempt:
-            # Two attempts at once: what is left of an older one has to be gone first.
+            # Two attempts at once: the gang ends, as tasks of the older one have to be gone first.
             work.attempt = max(work.attempt, placement.attempt)
             work.ending = True
         if placement.stage in ("running", "saving"):
@@ -51,45 +55,47 @@
             work.ending = True
 
     def running_reported(self, work: Work) -> None:
-        """All its tasks run."""
+        """Records that all tasks of the gang run."""
         work.started = True
         work.incomplete_attempts = 0
 
     def stop_requested(self, work: Work) -> None:
-        """One of its tasks was told to stop: then all are."""
+        """Records that a task was ordered to stop, which ends the attempt."""
         work.ending = True
 
     def attempt_ended(self, work: Work, placement: Placement, why: str) -> None:
-        """A task of the attempt is over, and the job is not done."""
+        """Handles the end of a task of a job that is not done; `why` is the reason."""
         now = self.context.now
         if placement.attempt == work.attempt:
             if why in ("mates", "error") or placement.stage_before in ("running", "saving"):
                 work.started = True
-            if why == "incomplete" and self._comes(work):
-                # The others still fetch, and would give that up: this one is placed again.
-                work.not_before = Instant(now + INCOMPLETE_FIRST_S)
+            if why == "incomplete" and self._fetches_images(work):
+                # Ending the attempt would waste the others' fetches: this task is placed again.
+                work.not_before = Instant(now + INCOMPLETE_BACKOFF_S)
             elif why == "incomplete" and not work.ending:
-                pause = min(
-                    INCOMPLETE_MOST_S, INCOMPLETE_FIRST_S * 2 ** min(work.incomplete_attempts, 8)
+                backoff_s = min(
+                    MAX_INCOMPLETE_BACKOFF_S,
+                    INCOMPLETE_BACKOFF_S
+                    * 2 ** min(work.incomplete_attempts, MAX_BACKOFF_DOUBLINGS),
                 )
                 work.incomplete_attempts += 1
-                work.not_before = Instant(now + pause)
+                work.not_before = Instant(now + backoff_s)
                 self.context.log(
                     "warning",
-                    f"gang {work.job.uid}: {self._missing(work)} within"
+                    f"gang {work.job.uid}: {self._missing_tasks(work)} within"
                     f" {now - placement.since:.1f} s, tried again in"
-                    f" {pause:.0f} s",
+                    f" {backoff_s:.0f} s",
                 )
                 work.ending = True
             elif work.started:
                 work.ending = True
         if work.ending:
-            self._end(work)
+            self._stop_remaining(work)
         if not self.fleet.placements.of_job(work.job.uid):
-            self._idle(work)
+            self._reset_attempt(work)
 
-    def _comes(self, work: Work) -> bool:
-        """Are images of other tasks of the gang still on their way?"""
+    def _fetches_images(self, work: Work) -> bool:
+        """Returns whether the gang has neither started nor ended, and tasks of it still fetch."""
         return (
             not work.started
             and not work.ending
@@ -98,22 +104,25 @@
             )
         )
 
-    def _missing(self, work: Work) -> str:
+    def _missing_tasks(self, work: Work) -> str:
         return f"{len(work.pending)} of {work.job.spec.tasks} tasks were not there"
 
-    def _idle(self, work: Work) -> None:
+    def _reset_attempt(self, work: Work) -> None:
         work.attempt = None
         work.started = work.ending = False
 
-    def _end(self, work: Work) -> None:
-        """The others can't go on. What saves in an orderly stop is left to it."""
-        for mate in self.fleet.placements.of_job(work.job.uid):
-            if not mate.stopping:
-                self.fleet.placements.stop(mate)
+    def _stop_remaining(self, work: Work) -> None:
+        """Stops the tasks that can't go on alone; those already stopping may finish saving."""
+        for member in self.fleet.placements.of_job(work.job.uid):
+            if not member.stopping:
+                self.fleet.placements.stop(member)
 
     def check_startable(self, work: Work) -> str:
-        """Why nothing of the gang may be started now; empty: all that is pending may. Asked only
-        when every task that may be somewhere is located."""
+        """Returns why no task of the gang may be started now, or "" if all pending tasks may be.
+
+        Ends the attempt of a gang that has lost a task. Call it only when every task of the gang
+        that may be on a machine is located.
+        """
         if (
             not work.ending
             and work.pending
@@ -122,18 +131,18 @@
                 or any(p.stage == "saving" for p in self.fleet.placements.of_job(work.job.uid))
             )
         ):
-            # A task of a running gang is nowhere, perhaps since before a takeover.
+            # A running gang has lost a task, perhaps before a takeover.
             work.ending = True
-            self._end(work)
+            self._stop_remaining(work)
         if not work.ending:
             return ""
         if self.fleet.placements.of_job(work.job.uid):
             return "tasks of an earlier attempt are still there"
-        self._idle(work)
+        self._reset_attempt(work)
         return ""
 
     def phase(self, work: Work) -> str:
-        """The gang's phase by name."""
+        """Returns the name of the gang's phase."""
         if not self.fleet.placements.of_job(work.job.uid):
             return "idle"
         return "ending" if work.ending else "running" if work.started else "placed"
@@ -141,8 +150,12 @@
     # --- stopping ------------------------------------------------------------------------
 
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
-        """Stop a task, and with it its whole gang if it is of one. With time to save only if all
-        can be told at once: else the save fails, and the time is lost too."""
+        """Stops a task, or the whole gang that it belongs to.
+
+        `grace_s` is the time to save of a single task, by default what it needs. A gang gets time
+        to save only if all its tasks can be ordered to stop at once: otherwise the save fails and
+        its time is lost as well.
+        """
         work = self.work.get(placement.task.job)
         if work is None or not work.job.spec.gang:
             self.fleet.placements.stop(
@@ -150,32 +163,37 @@
             )
             return
         members = self.fleet.placements.of_job(work.job.uid)
-        all_told = len(members) == work.job.spec.tasks and all(
+        all_reachable = len(members) == work.job.spec.tasks and all(
             not m.machine.suspected
             and m.machine.addr
             and not m.machine.do_open
             and self.fleet.silent_s(m.machine)
-            < 2.5 * self.context.platform.settings.workers.report_s
+            < MAX_SILENT_INTERVALS * self.context.platform.settings.workers.report_s
             for m in members
         )
         work.ending = True
         for member in members:
             if not member.stopping:
-                self.fleet.placements.stop(member, stop_grace_s(member) if all_told else 0.0)
+                self.fleet.placements.stop(member, stop_grace_s(member) if all_reachable else 0.0)
 
     def stop_cost_s(self, placement: Placement) -> float:
-        """What stopping it costs, in seconds of work; of a gang all its tasks' part."""
+        """Returns the seconds of work lost by stopping the task, or all tasks of its gang."""
         now = self.context.now
         if placement.job is None or not placement.job.spec.gang:
-            return loss(placement, now)
-        return sum(loss(mate, now) for mate in self.fleet.placements.of_job(placement.task.job))
+            return lost_work_s(placement, now)
+        return sum(
+            lost_work_s(member, now) for member in self.fleet.placements.of_job(placement.task.job)
+        )
 
-    def size(self, work: Work) -> Size:
-        """Of all that is pending of it, less one task."""
+    def size_after_first(self, work: Work) -> Size:
+        """Returns the size of all pending tasks but one, which quota checks add themselves."""
         return work.job.size.times(len(work.pending) - 1)
 
-    def most_in_zone(self, work: Work, zone: str) -> float:
-        """How many of the tasks that are pending may go to a zone."""
+    def max_tasks_in_zone(self, work: Work, zone: str) -> float:
+        """Returns how many of the pending tasks may go to the zone.
+
+        `spread` allows half of the gang's tasks in one zone, rounded up.
+        """
         spec = work.job.spec
         if spec.spread:
             return (spec.tasks + 1) // 2 - work.zones.get(zone, 0)
--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -1,4 +1,4 @@
-"""Images in a shortage: which of them enough machines hold."""
+"""Finds the images that enough machines hold while tasks outnumber the free room."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from .shares import Holding
 from .work import Work, images_being_fetched
 
-PLENTY = 2.0  # an image is held by enough machines: twice its part of what waits
-HELD_EVERY_S = 1.0  # between two counts of what images the machines hold
+# An image is plentiful if the part of CPUs that hold it is this many times its part of the CPUs
+# that waiting tasks ask for.
+PLENTIFUL_FACTOR = 2.0
+MAX_PLENTIFUL_PART = 1.0  # an image that every machine holds is always plentiful
+COUNT_INTERVAL_S = 1.0  # minimum time between two counts of the held images
 
 
 class HeldImages(NamedTuple):
-    """A count of what the usable machines of a share hold."""
+    """How many CPUs of a share's usable machines hold each image."""
 
     at: Instant
     cpus_by_image: dict[str, float]
@@ -27,7 +30,7 @@
 
 
 class ImageSupply:
-    """Extension: a machine without an image is left to tasks whose image it holds."""
+    """Extension: decides which tasks leave machines without their image to other tasks."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -40,9 +43,12 @@
         usable: Callable[[], list[Machine]],
         machines_with_room: list[Machine],
     ) -> frozenset[str]:
-        """While more waits than there is room for, images that enough machines hold for their
-        part of what waits. Their tasks leave machines without the image to others whose image
-        is there, as fetching takes a good part of a short task's time."""
+        """Returns the images that enough machines hold for their part of the waiting work.
+
+        Tasks with such an image leave machines without it to tasks whose image is there, since
+        fetching takes a large part of a short task's time. While all waiting tasks fit into the
+        free room, no image is returned.
+        """
         wanted: dict[str, float] = {}
         for work in waiting:
             cpus = len(work.pending) * work.job.size.cpus
@@ -51,22 +57,23 @@
         if total <= sum(m.room.cpus for m in machines_with_room):
             return frozenset()
         held = self._held.get(holding.number, NEVER_COUNTED)
-        if self.context.now >= held.at + HELD_EVERY_S:
+        if self.context.now >= held.at + COUNT_INTERVAL_S:
             held = self._held[holding.number] = self._count(usable())
         if not held.cpus:
             return frozenset()
         return frozenset(
             image
-            for image, part in wanted.items()
-            if held.cpus_by_image.get(image, 0.0) / held.cpus >= min(PLENTY * part / total, 1.0)
+            for image, wanted_cpus in wanted.items()
+            if held.cpus_by_image.get(image, 0.0) / held.cpus
+            >= min(PLENTIFUL_FACTOR * wanted_cpus / total, MAX_PLENTIFUL_PART)
         )
 
     def _count(self, machines: list[Machine]) -> HeldImages:
-        found: dict[str, float] = {}
+        cpus_by_image: dict[str, float] = {}
         total = 0.0
         for machine in machines:
             assert machine.type is not None
             total += machine.type.cpus
             for image in (*images_being_fetched(machine), *machine.images):
-                found[image] = found.get(image, 0.0) + machine.type.cpus
-        return HeldImages(self.context.now, found, total)
+                cpus_by_image[image] = cpus_by_image.get(image, 0.0) + machine.type.cpus
+        return HeldImages(self.context.now, cpus_by_image, total)
--- a/runcourse/core/order.py
+++ b/runcourse/core/order.py
@@ -1,4 +1,4 @@
-"""In what order waiting work is served."""
+"""The order in which waiting jobs are served."""
 
 from __future__ import annotations
 
@@ -9,64 +9,85 @@
 from .ids import Instant
 from .jobs import name_digest
 from .quota import Quota
-from .work import Work, begun
+from .work import Work, has_begun
 
-OVERDUE_AFTER_S = (
-    120.0  # a job that waits longer is overdue, or smaller ones would pass it for ever
-)
+# A job that waits longer is overdue: without this limit smaller jobs could overtake it for ever.
+OVERDUE_AFTER_S = 120.0
+OVERDUE_RANK = -1  # sorts before every rank
+# Estimates are often wrong by half: the rest of a job that has begun may take less.
+BEGUN_ESTIMATE_FACTOR = 0.5
+DEFAULT_DEADLINE_FACTOR = 1.0  # where an objective states no multiple of the deadline
 
 
 class QueueOrder:
-    """Compares waiting jobs by guarantee, rank and the aims of their classes."""
+    """Orders waiting jobs by guarantee, rank and the objectives of their classes."""
 
     def __init__(self, context: Context, quota: Quota) -> None:
         self.context = context
         self.quota = quota
+        # By job class: multiples of the deadline, and seconds to start or to finish within.
         self._deadline_factors: dict[str, tuple[float, ...]] = {}
-        for aim in context.platform.settings.objectives:
-            if aim.kind == "deadline" and aim.job_class is not None:
-                times = {*self._deadline_factors.get(aim.job_class, ()), aim.times or 1.0}
-                self._set(self._deadline_factors, aim.job_class, tuple(sorted(times)))
+        for objective in context.platform.settings.objectives:
+            if objective.kind == "deadline" and objective.job_class is not None:
+                factors = {
+                    *self._deadline_factors.get(objective.job_class, ()),
+                    objective.times or DEFAULT_DEADLINE_FACTOR,
+                }
+                self._set(self._deadline_factors, objective.job_class, tuple(sorted(factors)))
         self.wait_limits_s: dict[str, float] = {}
-        for aim in context.platform.settings.objectives:
-            if aim.kind == "wait" and aim.job_class is not None and aim.within_s is not None:
-                self._set(self.wait_limits_s, aim.job_class, aim.within_s)
-        self._finished_within: dict[str, list[float]] = {}
-        for aim in context.platform.settings.objectives:
-            if aim.kind == "finished" and aim.job_class is not None and aim.within_s is not None:
-                limits = [*self._finished_within.get(aim.job_class, ()), aim.within_s]
-                self._set(self._finished_within, aim.job_class, limits)
+        for objective in context.platform.settings.objectives:
+            if (
+                objective.kind == "wait"
+                and objective.job_class is not None
+                and objective.within_s is not None
+            ):
+                self._set(self.wait_limits_s, objective.job_class, objective.within_s)
+        self._finish_limits_s: dict[str, list[float]] = {}
+        for objective in context.platform.settings.objectives:
+            if (
+                objective.kind == "finished"
+                and objective.job_class is not None
+                and objective.within_s is not None
+            ):
+                limits_s = [*self._finish_limits_s.get(objective.job_class, ()), objective.within_s]
+                self._set(self._finish_limits_s, objective.job_class, limits_s)
 
     @staticmethod
-    def _set(of_class: dict[str, Any], name: str, value: Any) -> None:
-        """Under the name, and under what stands for it in the record of a large submission."""
-        of_class[name] = of_class[name_digest(name)] = value
+    def _set(by_class: dict[str, Any], job_class: str, value: Any) -> None:
+        """Sets the value for the class name and for its short form in stored large submissions."""
+        by_class[job_class] = by_class[name_digest(job_class)] = value
 
     def urgency(self, work: Work) -> tuple[bool, int, int, float, str]:
-        """Guarantees, rank, then the nearest deadline among those that can still be kept: a job
-        that will be late anyway must not make the next one late too."""
+        """Returns the sort key of the work; the least is served first.
+
+        Work within its team's guarantee comes first, then the higher rank, then the nearest
+        deadline among those that can still be met: a job that will be late anyway must not make
+        the next one late too. Overdue services and gangs come before all others.
+        """
         job = work.job
         spec = job.spec
         now = self.context.now
-        started = begun(work)
+        begun = has_begun(work)
         key = (not self.quota.within_guarantee(job), spec.rank)
-        if not started and now > job.submitted + OVERDUE_AFTER_S and now >= work.prioritised_until:
+        if not begun and now > job.submitted + OVERDUE_AFTER_S and now >= work.prioritised_until:
             work.prioritised_until = Instant(now + OVERDUE_AFTER_S)
         if spec.service or spec.gang:
             if now < work.prioritised_until:
-                return (False, -1, 0, job.submitted, job.uid)
+                return (False, OVERDUE_RANK, 0, job.submitted, job.uid)
             return (*key, 0, job.submitted, job.uid)
         if not spec.deadline_s:
             return (*key, 0, math.inf, job.uid)
-        # Estimates are often wrong by half: what has begun may end sooner.
-        left = spec.estimate_s * (0.5 if started else 1.0)
-        lasts = [times * spec.deadline_s for times in self._deadline_factors.get(spec.lane, (1.0,))]
-        lasts += self._finished_within.get(spec.lane, ())
-        tier = sum(now + left > job.submitted + last for last in lasts)
-        return (*key, tier, job.submitted + spec.deadline_s, job.uid)
+        remaining_s = spec.estimate_s * (BEGUN_ESTIMATE_FACTOR if begun else 1.0)
+        limits_s = [
+            factor * spec.deadline_s
+            for factor in self._deadline_factors.get(spec.lane, (DEFAULT_DEADLINE_FACTOR,))
+        ]
+        limits_s += self._finish_limits_s.get(spec.lane, ())
+        missed = sum(now + remaining_s > job.submitted + limit_s for limit_s in limits_s)
+        return (*key, missed, job.submitted + spec.deadline_s, job.uid)
 
     def overdue(self, work: Work) -> bool:
-        """Has the array waited for so long that it has a part of its own of all starts?"""
+        """Returns whether the array has waited so long that a part of all starts is its own."""
         spec = work.job.spec
         return (
             not spec.service
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -1,4 +1,4 @@
-"""What runs where: the owner's turns over its shares, and the finishes it stores."""
+"""The scheduler: the owner's turns over its shares, in which it places waiting tasks."""
 
 from __future__ import annotations
 
@@ -33,21 +33,20 @@
 from .turn import Turn, UnmetDemand
 from .unlocated import UnlocatedTasks
 from .versions import Versions
-from .work import (
-    Work,
-    fetches_or_holds,
-)
+from .work import Work, holds_or_fetches_image
 
-RETRY_S = 0.25  # between turns while tasks wait for room
-MACHINE_S = 60.0  # a machine is paid for so long at the least
-QUEUED_PER_S = 5_000.0  # and so do jobs gone through
-LONGEST_GAP_S = 0.25
-TURN_GAP_S = 0.02
-PROBE_AGAIN_S = 1.0
+TURN_RETRY_S = 0.25  # between turns while tasks wait for room
+MIN_MACHINE_PAID_S = 60.0  # the shortest time for which a machine is paid
+QUEUED_JOBS_PER_S = 5_000.0  # rate by which the waiting jobs of a turn delay the next turn
+MAX_TURN_GAP_S = 0.25  # bounds on the time between turns, which grows with their cost
+MIN_TURN_GAP_S = 0.02
+PROBE_RETRY_S = 1.0  # while a probe runs or found no room
+MACHINE_FULL_BACKOFF_S = 1.0  # after a worker refused a start as full or busy
+UNKNOWN_TASK_BACKOFF_S = 1.0  # after a worker refused a start as unknown
 
 
 class Scheduler:
-    """Watches the ledger, and fills machines with the tasks that wait."""
+    """Follows changes of jobs and placements, and places waiting tasks on machines."""
 
     def __init__(
         self,
@@ -64,23 +63,25 @@
         self.jobs = jobs
         self.quota = quota
         self.work: dict[JobId, Work] = {}
-        # Work that may have tasks to start, in the order in which it was opened.
+        # Work that may have pending tasks, in the order in which it was opened.
         self._pending: dict[ShareNo, dict[JobId, Work]] = {}
         self.unmet: dict[ShareNo, list[UnmetDemand]] = {}
         self.order = QueueOrder(context, quota)
-        self._dirty = True
+        self._dirty = True  # something changed since the last turn
         self._next_turn = Instant(0.0)
-        self._due_at = FAR_FUTURE  # when what backs off is to be looked at again
+        self._backoff_ends_at = FAR_FUTURE  # when the next backoff ends; ALWAYS: none
         self.finishes = Finishes(context, store, shares)
         self.budget = TurnBudget(context)
         self.policy = policy
         self.scoring = Scoring(context, policy)
         self.image_supply = ImageSupply(context)
-        self._queued = 0  # jobs that waited in the newest turn
+        self._queued_jobs = 0  # jobs that waited in the newest turn
 
     def connect(self, fleet: Fleet, authority: Authority, versions: Versions) -> None:
-        """The ledger tells the scheduler of changes, and the scheduler changes the ledger: the
-        node builds the two for each other."""
+        """Completes the scheduler with modules that need it for their own construction.
+
+        The fleet reports changes of placements to the scheduler, which in turn changes placements.
+        """
         self.fleet = fleet
         self.failures = Failures(self.context, fleet, self.capacity_changed)
         self.gangs = Gangs(self.context, fleet, self.work)
@@ -127,7 +128,7 @@
     # --- jobs ----------------------------------------------------------------------------
 
     def job_changed(self, job: Job) -> None:
-        """A job is new, or changed its stage."""
+        """Handles a new job or a change of a job's stage."""
         share = self.shares.of_team(Team(job.spec.team))
         if job.stage == "cancelled":
             self.unlocated.cancelled(job)
@@ -139,14 +140,14 @@
             self._open(job, share)
 
     def gain(self, holding: Holding) -> None:
-        """The share is owned here from now on."""
+        """Adds the open jobs of a share that is owned here from now on."""
         self.policy.share_gained(holding, self.context.now)
         for job in self.jobs.open_jobs():
             if self.shares.of_team(Team(job.spec.team)) == holding.number:
                 self._open(job, holding.number)
 
     def lose(self, share: ShareNo) -> None:
-        """The share is not owned here any more."""
+        """Drops the work of a share that is not owned here any more."""
         self.policy.share_lost(share)
         for uid in [u for u, w in self.work.items() if w.share == share]:
             del self.work[uid]
@@ -157,7 +158,8 @@
     def _open(self, job: Job, share: ShareNo) -> None:
         work = Work(job, share)
         placed = {p.task.number for p in self.fleet.placements.of_job(job.uid)}
-        # As digits once: shifting a large bitmap for each of 100,000 tasks takes seconds.
+        # Converted to digits once: shifting a large bit set for each of 100,000 tasks takes
+        # seconds.
         done = f"{job.done_bits:b}".rjust(job.spec.tasks, "0")
         work.pending = {
             job.spec.tasks - 1 - n: None
@@ -171,7 +173,7 @@
         self._dirty = True
 
     def enqueue(self, work: Work) -> None:
-        """The job is open in an owned share, and its pending tasks wait to be started."""
+        """Adds the work of an open job in an owned share, to have its pending tasks started."""
         self.work[work.job.uid] = work
         self._pending.setdefault(work.share, {})[work.job.uid] = work
 
@@ -184,10 +186,10 @@
             self.fleet.placements.stop(placement)
         self._dirty = True
 
-    # --- what the ledger tells -----------------------------------------------------------
+    # --- changes of placements -----------------------------------------------------------
 
     def placement_added(self, placement: Placement) -> None:
-        """A task was placed, or found on a machine."""
+        """Handles a task that was placed or found on a machine."""
         self.quota.add(placement)
         if placement.job is not None and not placement.job.spec.service:
             self.placement.array_task_placed(placement.machine.share.number)
@@ -202,7 +204,7 @@
             self.fleet.placements.stop(placement)
 
     def placement_removed(self, placement: Placement) -> None:
-        """A placement counts no longer."""
+        """Handles a placement that no longer takes room."""
         self.quota.remove(placement)
         work = self.work.get(placement.task.job)
         if work is not None:
@@ -210,14 +212,14 @@
             work.zones[zone] = work.zones.get(zone, 0) - 1
 
     def stop_requested(self, placement: Placement) -> None:
-        """A task was told to stop."""
+        """Handles an order to stop a task."""
         self.quota.note_stopping(placement)
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
             self.gangs.stop_requested(work)
 
     def attempt_ended(self, placement: Placement, why: str) -> None:
-        """The attempt is over, whatever the reason."""
+        """Handles the end of an attempt; `why` is the reason."""
         self._dirty = True
         self.migrations.attempt_ended(placement, why)
         work = self.work.get(placement.task.job)
@@ -227,7 +229,7 @@
         machine = placement.machine
         now = self.context.now
         if why == "done" and not work.job.spec.service:
-            # If one task of a gang is done, all are.
+            # If one task of a gang is done, all of them are.
             for number in range(work.job.spec.tasks) if work.job.spec.gang else (index,):
                 self.finishes.add(work, number)
             machine.errors.clear()
@@ -237,42 +239,45 @@
         elif why == "error":
             self.failures.failed(work, placement)
         elif why in ("full", "busy"):
-            machine.full_until = Instant(now + 1.0)
+            machine.full_until = Instant(now + MACHINE_FULL_BACKOFF_S)
         elif why == "unknown":
-            work.not_before = Instant(now + 1.0)
+            work.not_before = Instant(now + UNKNOWN_TASK_BACKOFF_S)
         if (
-            not work.finished >> index & 1
+            not work.unstored_done_bits >> index & 1
             and not work.job.is_done(index)
             and placement.task not in self.fleet.placements.by_task
         ):
             work.pending[index] = None
             self._pending[work.share][work.job.uid] = work
-            work.tried.add(index)
+            work.attempted.add(index)
             if work.job.spec.gang:
                 self.gangs.attempt_ended(work, placement, why)
 
     def running_reported(self, placement: Placement) -> None:
-        """A task was reported as running."""
+        """Handles a task that is reported as running."""
         work = self.work.get(placement.task.job)
         if work is not None and work.job.spec.gang:
             self.gangs.running_reported(work)
 
     def capacity_changed(self) -> None:
-        """Something changed that may make room: take a turn soon."""
+        """Requests a turn soon, since something changed that may make room."""
         self._dirty = True
 
     # --- turns ---------------------------------------------------------------------------
 
-    def turn(self) -> None:
-        """Start what can be started, if anything changed since the last turn."""
+    def run_turns(self) -> None:
+        """Takes a turn over each owned share, if anything changed since the last or a retry is due.
+
+        Turns follow each other after a minimum gap, which grows with the cost of the last turns.
+        """
         now = self.context.now
-        # Room may open by time alone, as pauses and backoffs end.
-        due = self._dirty or (any(self.unmet.values()) and now >= self._next_turn + RETRY_S)
-        if not (due or now >= self._due_at) or now < self._next_turn:
+        # Time alone may make room: machines become usable again as quarantines and backoffs end.
+        due = self._dirty or (any(self.unmet.values()) and now >= self._next_turn + TURN_RETRY_S)
+        if not (due or now >= self._backoff_ends_at) or now < self._next_turn:
             return
         self._dirty = False
-        self._due_at = FAR_FUTURE
-        self._queued = 0
+        self._backoff_ends_at = FAR_FUTURE
+        self._queued_jobs = 0
         self.budget.begin()
         self.preemption.begin()
         for holding in list(self.shares.owned.values()):
@@ -280,42 +285,48 @@
                 self._run_turn(holding)
             else:
                 self._dirty = True
-        # A long queue is gone through less often: what a turn costs puts the next one off.
-        cost = self.budget.cost_s() + self._queued / QUEUED_PER_S
-        self._next_turn = Instant(now + min(TURN_GAP_S + cost, LONGEST_GAP_S))
+        # The cost of a turn delays the next one, so that a long queue is processed less often.
+        cost_s = self.budget.cost_s() + self._queued_jobs / QUEUED_JOBS_PER_S
+        self._next_turn = Instant(now + min(MIN_TURN_GAP_S + cost_s, MAX_TURN_GAP_S))
 
     def _run_turn(self, holding: Holding) -> None:
-        waiting, failing, unsettled = self._waiting(holding)
+        waiting, failing, unsettled = self._classify_pending(holding)
         if not waiting and not failing:
             self.unmet[holding.number] = []
             return
-        self._queued += len(waiting)
-        if not self._has_attempts(holding, waiting):
+        self._queued_jobs += len(waiting)
+        if not self._has_attempt_numbers(holding, waiting):
             self._dirty = True
             return
         urgency = {work.job.uid: self.order.urgency(work) for work in waiting}
         waiting.sort(key=lambda work: urgency[work.job.uid])
         turn = self._prepare_turn(holding, waiting, failing, unsettled)
-        plenty = self.image_supply.plentiful(holding, waiting, turn.usable, turn.machines_with_room)
+        plentiful = self.image_supply.plentiful(
+            holding, waiting, turn.usable, turn.machines_with_room
+        )
         self.migrations.serve(turn)
         self.placement.serve_overdue(turn, waiting)
-        # Class by class: what leaves a machine to others must not stop them for it at once.
-        for _, together in groupby(waiting, key=lambda work: urgency[work.job.uid][:2]):
-            self._serve_class(turn, together, plenty)
+        # One priority at a time: work that leaves a machine to others of its priority must not
+        # preempt them there at once.
+        for _, works in groupby(waiting, key=lambda work: urgency[work.job.uid][:2]):
+            self._serve_priority(turn, works, plentiful)
         self.unmet[holding.number] = turn.unmet
-        # Last, never hired for, and nothing stops for them.
+        # Failing work comes last; no machine is hired for it, and nothing is preempted.
         for work in failing:
             self._probe(turn, work)
 
-    def _waiting(self, holding: Holding) -> tuple[list[Work], list[Work], list[Machine]]:
-        """What may be started now, what fails wherever it starts, and the machines that may hide
-        tasks of the rest."""
+    def _classify_pending(self, holding: Holding) -> tuple[list[Work], list[Work], list[Machine]]:
+        """Returns the work that may be started, the work that fails everywhere, and the
+        representatives of the machines that may hold unknown tasks.
+
+        The rest of the work gets the reason why it waits.
+        """
         now = self.context.now
         waiting: list[Work] = []
         failing: list[Work] = []
         unsettled = self.unlocated.unsettled_representatives(holding)
         for work in self._work_with_pending_tasks(holding.number):
-            if self.unlocated.may_hide(work.job, holding, unsettled):
+            if self.unlocated.may_be_unlocated(work.job, holding, unsettled):
                 work.wait_reason = "share not settled"
             elif work.fails_everywhere:
                 failing.append(work)
@@ -323,23 +334,26 @@
                 work.wait_reason = (
                     INCOMPLETE if work.incomplete_attempts else "its start was refused"
                 )
-                self._due_at = min(self._due_at, work.not_before)
+                self._backoff_ends_at = min(self._backoff_ends_at, work.not_before)
             else:
                 waiting.append(work)
         return waiting, failing, unsettled
 
     def _work_with_pending_tasks(self, share: ShareNo) -> list[Work]:
-        """Work of the share that has tasks to start; what has none is not looked at again."""
+        """Returns the share's work that has pending tasks, and drops the rest from the index."""
         pending = self._pending.get(share, {})
         for uid in [uid for uid, work in pending.items() if not work.pending]:
             del pending[uid]
         return list(pending.values())
 
-    def _has_attempts(self, holding: Holding, waiting: list[Work]) -> bool:
-        """False only where millions of tasks would start before anything is stored."""
+    def _has_attempt_numbers(self, holding: Holding, waiting: list[Work]) -> bool:
+        """Returns whether the share has attempt numbers for all tasks that this turn may start.
+
+        It lacks them only if millions of tasks would start before anything is stored.
+        """
         pending = sum(len(work.pending) for work in waiting)
-        most = MOST_LISTED * len(self.fleet.of_share(holding.number))
-        return holding.has_attempt_numbers(min(pending, most), self.store.applied)
+        max_starts = MOST_LISTED * len(self.fleet.of_share(holding.number))
+        return holding.has_attempt_numbers(min(pending, max_starts), self.store.applied)
 
     def _prepare_turn(
         self,
@@ -356,10 +370,10 @@
             return [m for m in machines if self.fleet.usable(m)]
 
         sizes = (work.job.size for work in (*waiting, *failing))
-        least = Size(*map(min, zip(*sizes, strict=True)))
-        # Most machines of a busy fleet are full: whether they are usable is asked only when
-        # something might be stopped there.
-        machines_with_room = [m for m in machines.with_room(least) if self.fleet.usable(m)]
+        smallest = Size(*map(min, zip(*sizes, strict=True)))
+        # Most machines of a busy fleet are full: whether those are usable is computed only when
+        # tasks might be preempted there.
+        machines_with_room = [m for m in machines.with_room(smallest) if self.fleet.usable(m)]
         return Turn(
             holding,
             usable,
@@ -368,37 +382,47 @@
             self.gang_placement.reserve(waiting, usable),
         )
 
-    def _serve_class(self, turn: Turn, works: Iterable[Work], plenty: frozenset[str]) -> None:
-        """Serve work of one class; of tasks whose image is plentiful, those that find it first."""
-        put_off: list[Work] = []
+    def _serve_priority(self, turn: Turn, works: Iterable[Work], plentiful: frozenset[str]) -> None:
+        """Serves work of one priority.
+
+        Array tasks with a plentiful image first go only to machines that hold it; the rest of them
+        is served at the end.
+        """
+        deferred: list[Work] = []
         for work in works:
             spec = work.job.spec
-            if spec.image in plenty and not spec.service and not spec.gang:
-                put_off.append(work)
-                held = [m for m in turn.machines_with_room if fetches_or_holds(spec.image, m)]
-                self.placement.serve(turn, work, held, last=False)
+            if spec.image in plentiful and not spec.service and not spec.gang:
+                deferred.append(work)
+                holders = [
+                    m for m in turn.machines_with_room if holds_or_fetches_image(spec.image, m)
+                ]
+                self.placement.serve(turn, work, holders, may_preempt=False)
             else:
-                self.placement.serve_last(turn, work)
-        for work in put_off:
-            self.placement.serve_last(turn, work)
+                self.placement.serve_with_preemption(turn, work)
+        for work in deferred:
+            self.placement.serve_with_preemption(turn, work)
 
     def _probe(self, turn: Turn, work: Work) -> None:
+        """Probes work that fails everywhere, and schedules the next look at it."""
         now = self.context.now
         self.placement.probe(turn, work)
-        # Looked at again when the next try is due, or soon while one goes on or found no room.
-        again = now + PROBE_AGAIN_S if now >= work.not_before or work.zones else work.not_before
-        self._due_at = min(self._due_at, Instant(again))
+        # The next look is when the next probe is due, or soon while one runs or found no room.
+        next_at = now + PROBE_RETRY_S if now >= work.not_before or work.zones else work.not_before
+        self._backoff_ends_at = min(self._backoff_ends_at, Instant(next_at))
 
     def tasks_needing_machines(self, job: Job, count: int) -> int:
-        """For how many of the waiting tasks to have machines: those without a deadline that end
-        long before a machine has paid for itself follow each other on the same ones."""
+        """Returns for how many of `count` waiting tasks machines are needed.
+
+        Short array tasks without a deadline can run one after the other on the same machine, for
+        at least the time for which it is paid.
+        """
         spec = job.spec
         if spec.service or spec.gang or spec.deadline_s or not spec.estimate_s:
             return count
-        return min(count, math.ceil(count * spec.estimate_s / MACHINE_S))
+        return min(count, math.ceil(count * spec.estimate_s / MIN_MACHINE_PAID_S))
 
     def tick(self) -> None:
-        """Go on with what time alone brings about."""
+        """Advances the modules that depend on time alone."""
         self.unlocated.tick()
         self.draining.tick()
         self.migrations.tick()
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -1,4 +1,4 @@
-"""Where waiting tasks go: the machine that scores best among those that may take them."""
+"""Places waiting tasks, each on the allowed machine with the best score."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from .quota import Quota
 from .scoring import Scoring
 from .turn import Turn, UnmetDemand
-from .work import Work, begun, fetch_s, permits, zone_allows_task
+from .work import Work, fetch_s, has_begun, permits, zone_allows_task
 
-OVERDUE_START_FRACTION = 0.2  # of the array tasks started, those that overdue work may start first
-AGED_CREDIT = 50.0
-ELSEWHERE_S = 3.0  # for which new replicas leave the room that is reserved for gangs
-UNBEGUN_S = 45.0  # an array that waits longer begins wherever there is room
+OVERDUE_START_FRACTION = 0.2  # tasks that overdue work may start first per array task started
+MAX_OVERDUE_CREDIT = 50.0  # tasks
+REPLICA_AVOIDS_RESERVED_S = 3.0  # for which new replicas avoid room reserved for gangs
+ARRAY_AVOIDS_RESERVED_S = 45.0  # an array that waits longer begins in reserved room as well
 NO_ROOM = "no machine with room"
 TEAM_LIMIT = "team limit"
 
-Scored = tuple[float, int, Machine]  # negative score, position among the candidates
+ScoredMachine = tuple[float, int, Machine]  # negative score, index among the candidates, machine
 
 
 class TaskPlacement:
-    """Starts the tasks of waiting jobs within a turn."""
+    """Places the tasks of waiting jobs within a turn."""
 
     def __init__(
         self,
@@ -55,91 +55,109 @@
         self.preemption = preemption
         self.gang_placement = gang_placement
         self.failures = failures
-        self._credit: dict[ShareNo, float] = {}  # tasks that overdue work may start first
+        # Tasks that overdue work may start before all other work.
+        self._overdue_credit: dict[ShareNo, float] = {}
 
     def array_task_placed(self, share: ShareNo) -> None:
-        """For each array task started, overdue work may start a part of one first."""
-        self._credit[share] = min(
-            self._credit.get(share, 0.0) + OVERDUE_START_FRACTION, AGED_CREDIT
+        """Adds to the share's credit for overdue work, for each array task started."""
+        self._overdue_credit[share] = min(
+            self._overdue_credit.get(share, 0.0) + OVERDUE_START_FRACTION, MAX_OVERDUE_CREDIT
         )
 
     def serve_overdue(self, turn: Turn, waiting: Iterable[Work]) -> None:
-        """Work that is long overdue makes way steadily: its first task goes before all else, and
-        after that a part of what is started is its own. All of it first would make whatever
-        comes meanwhile overdue in its turn."""
-        number = turn.holding.number
-        aged = [w for w in waiting if self.order.overdue(w)]
-        credit = self._credit.get(number, 0.0) if aged else 0.0
-        for work in sorted(aged, key=lambda w: (w.job.submitted, w.job.uid)):
+        """Places a limited number of tasks of overdue arrays before all other work.
+
+        The first task of each array is always tried, further ones as far as the share's credit
+        goes, so that overdue work gets a part of all starts. Serving all of it first would make
+        the work that arrives meanwhile overdue as well.
+        """
+        share = turn.holding.number
+        overdue = [w for w in waiting if self.order.overdue(w)]
+        credit = self._overdue_credit.get(share, 0.0) if overdue else 0.0
+        for work in sorted(overdue, key=lambda w: (w.job.submitted, w.job.uid)):
             before = len(work.pending)
-            first = 0 if begun(work) else 1
-            most = max(first, int(credit))
-            if most and before:
-                fits = [
+            first = 0 if has_begun(work) else 1  # the first task takes no credit
+            max_tasks = max(first, int(credit))
+            if max_tasks and before:
+                candidates = [
                     m
-                    for m in self._fitting(turn, work, turn.machines_with_room)
-                    if self._open(turn, work, m)
+                    for m in self._candidates(turn, work, turn.machines_with_room)
+                    if self._may_use(turn, work, m)
                 ]
-                self._fill(turn, work, fits, False, most)
+                self._place_tasks(turn, work, candidates, False, max_tasks)
                 credit -= max(0, before - len(work.pending) - first)
                 if len(work.pending) == before and not first:
                     break
-        self._credit[number] = credit
+        self._overdue_credit[share] = credit
+
+    def serve_with_preemption(self, turn: Turn, work: Work) -> None:
+        """Serves the work for the last time in the turn, and records its unmet demand.
 
-    def serve_last(self, turn: Turn, work: Work) -> None:
-        """The last try of a turn: it may stop lesser work, and what is missing is noted."""
-        missing = self.serve(turn, work, turn.machines_with_room, last=True)
+        Lesser work may be preempted for it.
+        """
+        missing = self.serve(turn, work, turn.machines_with_room, may_preempt=True)
         if missing:
             closed = tuple(z for z in sorted(work.zones) if not zone_allows_task(work, z))
             turn.unmet.append(UnmetDemand(work.job, missing, closed))
 
-    def serve(self, turn: Turn, work: Work, machines: list[Machine], last: bool) -> int:
-        """Start what fits on the machines; returns how many tasks found none. Only the `last`
-        try may stop others."""
+    def serve(self, turn: Turn, work: Work, machines: list[Machine], may_preempt: bool) -> int:
+        """Places pending tasks on the machines; returns how many found no machine.
+
+        `may_preempt` is set for the last try of a turn, which covers all machines with room and
+        may preempt lesser work.
+        """
         if not work.pending:
             return 0
         spec, size = work.job.spec, work.job.size
         if spec.gang:
-            return self._serve_gang(turn, work, machines, last)
-        kind = (spec.spot, spec.types, spec.zone)
-        if last and any(small.fits(size) for small in turn.full.get(kind, ())):
+            return self._serve_gang(turn, work, machines, may_preempt)
+        constraints = (spec.spot, spec.types, spec.zone)
+        if may_preempt and any(
+            failed.fits(size) for failed in turn.sizes_without_room.get(constraints, ())
+        ):
             work.wait_reason = NO_ROOM
             self.preemption.make_room(turn, work, len(work.pending))
             return len(work.pending)
-        fits = self._fitting(turn, work, machines)
+        candidates = self._candidates(turn, work, machines)
         if turn.reserved:
-            fits = [m for m in fits if self._open(turn, work, m)]
-        if not fits:
-            if not turn.reserved and last:  # what is reserved for gangs is room to others
-                turn.full.setdefault(kind, []).append(size)
-            if not last:
+            candidates = [m for m in candidates if self._may_use(turn, work, m)]
+        if not candidates:
+            # With reservations, another job may still have room where this one must not go.
+            if not turn.reserved and may_preempt:
+                turn.sizes_without_room.setdefault(constraints, []).append(size)
+            if not may_preempt:
                 return len(work.pending)
-        return self._fill(turn, work, fits, last)
+        return self._place_tasks(turn, work, candidates, may_preempt)
 
-    def _serve_gang(self, turn: Turn, work: Work, machines: list[Machine], last: bool) -> int:
-        machines = [m for m in machines if self._open(turn, work, m)]
-        return self.gang_placement.serve(turn, work, machines, last)
+    def _serve_gang(
+        self, turn: Turn, work: Work, machines: list[Machine], may_preempt: bool
+    ) -> int:
+        machines = [m for m in machines if self._may_use(turn, work, m)]
+        return self.gang_placement.serve(turn, work, machines, may_preempt)
 
     def probe(self, turn: Turn, work: Work) -> None:
-        """One task of a job that fails wherever it starts, in room that nobody else took, on a
-        machine where it has not failed yet and, if there is one, that holds its image."""
+        """Starts one task of a job, or a whole gang, that fails wherever it starts.
+
+        It uses room that no other work took, preferably on a machine where the job has not failed
+        yet and that holds its image.
+        """
         if self.failures.goes_well(work):
             self.failures.note_success(work)
             return
         work.wait_reason = FAILS
         if self.context.now < work.not_before or any(work.zones.values()):
             return
-        fits = self._fitting(turn, work, turn.machines_with_room)
-        fits = [m for m in fits if m.id not in work.errors] or fits
-        fits = [m for m in fits if work.job.spec.image in m.images] or fits
-        if fits and work.job.spec.gang:
-            self._serve_gang(turn, work, fits, last=False)
-        elif fits:
-            self._fill(turn, work, fits, False, 1)
+        candidates = self._candidates(turn, work, turn.machines_with_room)
+        candidates = [m for m in candidates if m.id not in work.errors] or candidates
+        candidates = [m for m in candidates if work.job.spec.image in m.images] or candidates
+        if candidates and work.job.spec.gang:
+            self._serve_gang(turn, work, candidates, may_preempt=False)
+        elif candidates:
+            self._place_tasks(turn, work, candidates, False, 1)
         work.wait_reason = FAILS
 
-    def _fitting(self, turn: Turn, work: Work, machines: Iterable[Machine]) -> list[Machine]:
-        """Machines with room for a task of the job, where it is allowed."""
+    def _candidates(self, turn: Turn, work: Work, machines: Iterable[Machine]) -> list[Machine]:
+        """Returns the machines that have room for a task of the job and allow it."""
         size = work.job.size
         fits = [
             m
@@ -149,94 +167,106 @@
         policy = self.scoring.policy
         return policy.candidates(work, fits) if policy.active else fits
 
-    def _open(self, turn: Turn, work: Work, machine: Machine) -> bool:
-        """Not reserved for another. Replicas look elsewhere at first, or a stream of new ones would
-        take all that is reserved; then they take it, as they would stop the gang there at once, and
-        both would begin again and again. An array that has not begun for long begins there."""
+    def _may_use(self, turn: Turn, work: Work, machine: Machine) -> bool:
+        """Returns whether no reservation keeps the job from the machine.
+
+        Replicas avoid reserved machines at first, or a stream of new ones would take all reserved
+        room. After that they may use them: otherwise they would preempt the gang as soon as it is
+        placed there, and both would start again and again. An array that has waited long without
+        a start may also begin there.
+        """
         job = work.job
         if turn.reserved.get(machine.id, job.uid) == job.uid:
             return True
-        waits = self.context.now - job.submitted
-        return (job.spec.service and waits > ELSEWHERE_S) or (
-            not job.spec.gang and waits > UNBEGUN_S and not begun(work)
+        waited = self.context.now - job.submitted
+        return (job.spec.service and waited > REPLICA_AVOIDS_RESERVED_S) or (
+            not job.spec.gang and waited > ARRAY_AVOIDS_RESERVED_S and not has_begun(work)
         )
 
-    # --- filling -------------------------------------------------------------------------
+    # --- placing tasks -------------------------------------------------------------------
 
-    def _fill(
+    def _place_tasks(
         self,
         turn: Turn,
         work: Work,
-        fits: list[Machine],
-        last: bool,
-        most: float = math.inf,
+        candidates: list[Machine],
+        may_preempt: bool,
+        max_tasks: float = math.inf,
     ) -> int:
-        """Start what fits, `most` tasks at the most; returns how many found no machine. `fits`
-        are the machines that have room for one task at the least."""
+        """Places at most `max_tasks` pending tasks; returns how many found no machine.
+
+        Each of the candidates has room for one task at least.
+        """
         job = work.job
         extra = turn.unlocated_of(job.spec.team)
         work.wait_reason = ""
         if not self.quota.allows(job, extra):
             work.wait_reason = TEAM_LIMIT
             return 0
-        held = self._room_with_image(turn, work, fits)
-        pool = self.budget.sample(fits, len(work.pending))
-        scored = [(-self.scoring.score(job, m), n, m) for n, m in enumerate(pool)]
+        awaiting = self._preempt_at_image(turn, work, candidates)
+        pool = self.budget.sample(candidates, len(work.pending))
+        scored = [(-self.scoring.score(job, m), index, m) for index, m in enumerate(pool)]
         heapq.heapify(scored)
-        end = len(work.pending) - most
-        while len(work.pending) > max(held, end):
+        limit = len(work.pending) - max_tasks
+        while len(work.pending) > max(awaiting, limit):
             if not self.quota.allows(job, extra):
                 work.wait_reason = TEAM_LIMIT
                 return 0
             if not self._place_next(work, scored):
                 break
-        missing = len(work.pending) - held
+        missing = len(work.pending) - awaiting
         if missing > 0:
             work.wait_reason = NO_ROOM
-            if last:
+            if may_preempt:
                 self.preemption.make_room(turn, work, missing)
         return missing
 
-    def _place_next(self, work: Work, scored: list[Scored]) -> bool:
-        """Place the next task on the best machine that may take it; `scored` is a heap."""
+    def _place_next(self, work: Work, scored: list[ScoredMachine]) -> bool:
+        """Places the next task on the best machine that may take it; returns whether there is one.
+
+        `scored` is a heap, which is updated.
+        """
         job = work.job
         task = TaskId(job.uid, next(reversed(work.pending)))
-        aside = []
+        skipped = []
         while scored and not self._may_take(work, task, scored[0][2]):
             entry = heapq.heappop(scored)
             if zone_allows_task(work, entry[2].record.zone):
-                aside.append(entry)  # holds a former attempt of this task only
+                skipped.append(entry)  # it lists a former attempt of this task, but may take others
         if not scored:
             return False
-        _, n, machine = scored[0]
+        _, index, machine = scored[0]
         self.fleet.placements.place(job, task.number, machine, machine.share.next_attempt())
         waited = self.context.now - job.submitted
         self.context.log("debug", f"{task} placed on {machine.id}, {waited:.2f} s after its job")
         if job.size.fits(machine.room) and len(machine.placements) < MOST_LISTED:
-            heapq.heapreplace(scored, (-self.scoring.score(job, machine), n, machine))
+            heapq.heapreplace(scored, (-self.scoring.score(job, machine), index, machine))
         else:
             heapq.heappop(scored)
-        for entry in aside:
+        for entry in skipped:
             heapq.heappush(scored, entry)
         return True
 
     @staticmethod
     def _may_take(work: Work, task: TaskId, machine: Machine) -> bool:
+        """Returns whether zone rules and former attempts allow the task on the machine."""
         return zone_allows_task(work, machine.record.zone) and not (
-            task.number in work.tried and machine.holds(task)
+            task.number in work.attempted and machine.holds(task)
         )
 
-    def _room_with_image(self, turn: Turn, work: Work, fits: list[Machine]) -> int:
-        """Extension: replicas that are promised to start sooner than their image can be fetched
-        take the room of lesser work on machines that hold it. For how many tasks room is being
-        made: they wait the moment until it is there."""
+    def _preempt_at_image(self, turn: Turn, work: Work, candidates: list[Machine]) -> int:
+        """Extension: preempts lesser work on machines that hold the image of urgent replicas.
+
+        These are replicas of a class whose promised time to start is shorter than their image's
+        fetch. Returns for how many tasks room is being made; they wait until it is free.
+        """
         job = work.job
-        within = self.order.wait_limits_s.get(job.spec.lane)
-        if within is None or not job.spec.service or work.fails_everywhere:
+        wait_limit_s = self.order.wait_limits_s.get(job.spec.lane)
+        if wait_limit_s is None or not job.spec.service or work.fails_everywhere:
             return 0
-        lacking = len(work.pending) - sum(
-            count_fitting(job.size, m.room) for m in fits if fetch_s(job, m) <= within
+        missing = len(work.pending) - sum(
+            count_fitting(job.size, m.room) for m in candidates if fetch_s(job, m) <= wait_limit_s
         )
-        if lacking <= 0:
+        if missing <= 0:
             return 0
-        return self.preemption.make_room(turn, work, lacking, within)
+        return self.preemption.make_room(turn, work, missing, wait_limit_s)
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -1,4 +1,4 @@
-"""What one turn of the scheduler over one share works on."""
+"""The state of one scheduling turn over one share."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from .placement import ZERO_SIZE, Size
 from .shares import Holding
 
-MachineKind = tuple[bool, tuple[str, ...] | None, str | None]  # spot, types, zone
+MachineConstraints = tuple[bool, tuple[str, ...] | None, str | None]  # spot allowed, types, zone
 
 
 class UnmetDemand(NamedTuple):
-    """Tasks of a job that found no machine in a turn."""
+    """Tasks of a job for which a turn found no machine."""
 
     job: Job
     missing: int
-    closed_zones: tuple[str, ...]  # by the job's `spread` or `together`
+    closed_zones: tuple[str, ...]  # excluded by the job's `spread` or `together`
 
 
 @dataclass(slots=True)
 class Turn:
-    """The machines of a share and what is decided about them in one turn."""
+    """The machines of a share and the decisions made about them in one turn."""
 
     holding: Holding
-    usable: Callable[[], list[Machine]]  # all that new tasks may go to, found when first asked
-    machines_with_room: list[Machine]  # those with room for the smallest waiting task
-    unlocated: Mapping[Team, Size]  # tasks that may run where this owner can't see them yet
-    reserved: Mapping[MachineId, JobId]  # machines, each for a gang
-    claimed: set[MachineId] = field(default_factory=set)  # room is being made there
-    # Sizes that found no room in this turn: what is no smaller won't find any either.
-    full: dict[MachineKind, list[Size]] = field(default_factory=dict)
+    usable: Callable[[], list[Machine]]  # all that accept new tasks; computed on the first call
+    machines_with_room: list[Machine]  # usable, with room for the smallest waiting task
+    unlocated: Mapping[Team, Size]  # tasks that may run unknown to this owner
+    reserved: Mapping[MachineId, JobId]  # machines reserved for a gang
+    claimed: set[MachineId] = field(default_factory=set)  # machines where tasks are being preempted
+    # Sizes that found no room in this turn: a task at least as large won't find any either.
+    sizes_without_room: dict[MachineConstraints, list[Size]] = field(default_factory=dict)
     unmet: list[UnmetDemand] = field(default_factory=list)
 
     def unlocated_of(self, team: str) -> Size:
-        """What the team may be running where this owner can't see it yet."""
+        """Returns what the team's tasks that this owner can't locate yet may take."""
         return self.unlocated.get(Team(team), ZERO_SIZE)
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -1,4 +1,4 @@
-"""Tasks that an earlier owner of a share may have started on machines not heard of yet."""
+"""Tasks that an earlier owner of a share may have started on machines that are not settled yet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class UnlocatedTasks:
-    """Where tasks may be hidden, and how much of a team's limit they may take."""
+    """Determines which tasks may run unknown to this owner, and how much they may take."""
 
     def __init__(
         self, context: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work]
@@ -25,24 +25,31 @@
         self.shares = shares
         self.fleet = fleet
         self.work = work
-        self._ending: dict[JobId, tuple[Job, Instant]] = {}  # cancelled; until when they may run
+        # Cancelled jobs whose tasks may still run, and until when; oldest first.
+        self._cancelled: dict[JobId, tuple[Job, Instant]] = {}
 
     def cancelled(self, job: Job) -> None:
-        """Its tasks may go on for a while where no owner has found them yet, and count against
-        the team's limit: whoever owns the share by then."""
+        """Counts the cancelled job's unlocated tasks against its team's limit for a while.
+
+        They may go on where no owner has found them yet. This holds for any share, since this
+        node may own the job's share by then.
+        """
         cancel_s = self.context.platform.settings.workers.cancel_s
-        self._ending[job.uid] = (job, later(self.context.now, cancel_s * (1 + CLOCK_DRIFT)))
+        self._cancelled[job.uid] = (job, later(self.context.now, cancel_s * (1 + CLOCK_DRIFT)))
 
     def tick(self) -> None:
-        """Forget the cancelled jobs whose tasks are surely gone by now."""
-        while self._ending:  # oldest first
-            uid = next(iter(self._ending))
-            if self.context.now < self._ending[uid][1]:
+        """Drops the cancelled jobs whose tasks have certainly stopped."""
+        while self._cancelled:
+            uid = next(iter(self._cancelled))
+            if self.context.now < self._cancelled[uid][1]:
                 break
-            del self._ending[uid]
+            del self._cancelled[uid]
 
     def unsettled_representatives(self, holding: Holding) -> list[Machine]:
-        """One machine of each kind and place among those that may hold unknown tasks."""
+        """Returns one unsettled machine of each type, zone and spot kind; none if all is settled.
+
+        Unsettled machines may hold tasks that this owner does not know of.
+        """
         if holding.settled:
             return []
         kinds = {
@@ -51,45 +58,50 @@
         }
         return list(kinds.values())
 
-    def may_hide(self, job: Job, holding: Holding, unsettled: list[Machine]) -> bool:
-        """May an earlier owner have started tasks of the job that aren't located yet? Only on
-        machines where they are allowed and fit: the others need not be waited for."""
+    def may_be_unlocated(self, job: Job, holding: Holding, unsettled: list[Machine]) -> bool:
+        """Returns whether an earlier owner may have started tasks of the job not located yet.
+
+        Only machines where the job's tasks are allowed and fit can hold them: there is no need to
+        wait for the others.
+        """
         return job.accepted <= holding.epoch and any(
             permits(job, m) and (m.type is None or job.size.fits(m.type.size)) for m in unsettled
         )
 
     def by_team(self, holding: Holding, unsettled: list[Machine]) -> dict[Team, Size]:
-        """Tasks that an earlier owner may have started on machines not heard of yet: those of
-        open jobs, and of jobs cancelled lately, which need not have stopped by now. No more
-        than such machines hold."""
+        """Returns what each team's unlocated tasks may take.
+
+        These are tasks of open jobs, and of jobs cancelled lately, which may not have stopped yet.
+        A team's tasks take no more than the unsettled machines hold together.
+        """
         if not unsettled:
             return {}
         found: dict[Team, Size] = {}
         for job, count in self._candidates(holding):
-            if count > 0 and self.may_hide(job, holding, unsettled):
+            if count > 0 and self.may_be_unlocated(job, holding, unsettled):
                 team = Team(job.spec.team)
                 found[team] = found.get(team, ZERO_SIZE).plus(job.size.times(count))
-        most = self._most(holding)
-        return {team: Size(*map(min, size, most)) for team, size in found.items()}
+        capacity = self._unsettled_capacity(holding)
+        return {team: Size(*map(min, size, capacity)) for team, size in found.items()}
 
     def _candidates(self, holding: Holding) -> list[tuple[Job, int]]:
-        """Jobs of the share, and how many of their tasks are not located."""
+        """Returns jobs of the share and how many tasks of each are not located."""
         found = [
             (work.job, len(work.pending))
             for work in self.work.values()
             if work.share == holding.number
         ]
-        for job, _ in self._ending.values():
+        for job, _ in self._cancelled.values():
             if self.shares.of_team(Team(job.spec.team)) == holding.number:
                 placed = len(self.fleet.placements.of_job(job.uid))
                 found.append((job, job.spec.tasks - job.done_count - placed))
         return found
 
-    def _most(self, holding: Holding) -> Size:
-        """What the machines that are not settled hold together."""
-        most = ZERO_SIZE
+    def _unsettled_capacity(self, holding: Holding) -> Size:
+        """Returns the total size of the unsettled machines; unlimited if a type is not known."""
+        capacity = ZERO_SIZE
         for machine in self.fleet.of_share(holding.number).unsettled():
             if machine.type is None:
                 return Size(math.inf, math.inf, math.inf)
-            most = most.plus(machine.type.size)
-        return most
+            capacity = capacity.plus(machine.type.size)
+        return capacity
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -1,4 +1,4 @@
-"""What is left to do of an open job, and where its tasks may go."""
+"""The remaining work of an open job, and the machines where its tasks may run."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 from .jobs import Job
 from .machine import Machine, Placement
 
+DEFAULT_FETCH_GB_PER_S = 1.0  # for machine types that state no fetch rate
+
 
 class Work:
-    """What is left to do of one open job of an owned share."""
+    """The remaining work of one open job of an owned share."""
 
     __slots__ = (
-        "prioritised_until",
         "attempt",
+        "attempted",
         "ending",
         "errors",
-        "max_time_to_failure_s",
         "fails_everywhere",
-        "unstored_done_bits",
+        "flush_retry_at",
         "flushed_at",
         "flushing",
         "incomplete_attempts",
         "job",
+        "max_time_to_failure_s",
         "not_before",
         "pending",
+        "prioritised_until",
         "probe_count",
         "reserved_at",
-        "flush_retry_at",
         "share",
         "started",
-        "tried",
+        "unstored_done_bits",
         "wait_reason",
         "zones",
     )
@@ -37,37 +39,36 @@
     def __init__(self, job: Job, share: ShareNo) -> None:
         self.job = job
         self.share = share
-        self.pending: dict[int, None] = {}  # to be started, the next one last
+        self.pending: dict[int, None] = {}  # task numbers to start, the next one last
         self.zones: dict[str, int] = {}  # tasks placed per zone
-        self.unstored_done_bits = 0  # bits of tasks that are done but not stored yet
-        self.flushing = False
+        self.unstored_done_bits = 0  # bit set of tasks done but not stored
+        self.flushing = False  # a write of finished tasks is under way
         self.flushed_at = LONG_AGO
         self.flush_retry_at = LONG_AGO
         self.not_before = LONG_AGO
-        self.prioritised_until = LONG_AGO  # goes first and is not stopped for others until then
-        self.errors: dict[MachineId, int] = {}  # where its tasks failed, how often
-        self.max_time_to_failure_s = (
-            0.0  # seconds at the most from the start of a task to its failure
-        )
-        self.fails_everywhere = False  # wherever it is started, as it seems
-        self.tried: set[int] = set()  # tasks of which machines may still list a former attempt
-        self.probe_count = 0  # tries since that was found
-        self.wait_reason = ""  # why its next task waits
-        # Of a gang alone, which has one attempt for all its tasks:
+        self.prioritised_until = LONG_AGO  # served first, not preempted until then
+        self.errors: dict[MachineId, int] = {}  # failures per machine
+        self.max_time_to_failure_s = 0.0  # longest time from a start to its failure
+        self.fails_everywhere = False  # its tasks seem to fail on every machine
+        # Tasks of which machines may still list a former attempt.
+        self.attempted: set[int] = set()
+        self.probe_count = 0  # starts delayed since `fails_everywhere` was set
+        self.wait_reason = ""  # why its next task is not started
+        # Only for gangs, which have one attempt for all tasks:
         self.attempt: Attempt | None = None
-        self.started = False  # all its tasks ran at the same time, or may have
-        self.ending = False  # the attempt is over, though not everywhere yet
-        self.reserved_at = LONG_AGO  # since when room is reserved for it
-        self.incomplete_attempts = 0  # attempts in turn that were not complete in time
+        self.started = False  # all tasks ran at the same time, or may have
+        self.ending = False  # the attempt is over, but tasks of it may remain
+        self.reserved_at = LONG_AGO  # when the current reservation period began
+        self.incomplete_attempts = 0  # consecutive attempts not complete in time
 
 
-def begun(work: Work) -> bool:
-    """Has any task of the job been started or finished?"""
+def has_begun(work: Work) -> bool:
+    """Returns whether any task of the job is placed or finished."""
     return bool(work.job.done_bits or work.unstored_done_bits or any(work.zones.values()))
 
 
 def permits(job: Job, machine: Machine) -> bool:
-    """May tasks of the job go to the machine, by type, zone and kind?"""
+    """Returns whether the job allows the machine by type, zone and spot kind."""
     spec = job.spec
     record = machine.record
     return (
@@ -78,7 +79,11 @@
 
 
 def zone_allows_task(work: Work, zone: str, more: int = 0) -> bool:
-    """`spread` and `together`, given the job's other tasks at this moment, and `more`."""
+    """Returns whether `spread` and `together` allow another task of the job in the zone.
+
+    `spread` allows half of the tasks, rounded up, in one zone; `together` allows one zone only.
+    `more` tasks are counted in the zone in addition to those placed.
+    """
     spec = work.job.spec
     placed = work.zones.get(zone, 0) + more
     if spec.spread and placed >= (spec.tasks + 1) // 2:
@@ -86,43 +91,52 @@
     return not (spec.together and any(n for z, n in work.zones.items() if z != zone))
 
 
-def may_move_to(work: Work, here: str, there: str) -> bool:
-    """Would the zones still be as the job asks, with one of its tasks there instead of here?"""
-    return here == there or (zone_allows_task(work, there) and not work.job.spec.together)
+def may_move_to(work: Work, from_zone: str, to_zone: str) -> bool:
+    """Returns whether the job's zone rules still hold after moving one task between the zones."""
+    return from_zone == to_zone or (zone_allows_task(work, to_zone) and not work.job.spec.together)
 
 
 def images_being_fetched(machine: Machine) -> dict[str, float]:
-    """Images under way to the machine, and their size."""
+    """Returns the images that the machine is fetching, with their sizes in GB.
+
+    The result is cached in `machine.fetches`.
+    """
     images = machine.fetches
     if images is None:
         images = machine.fetches = {}
         for placement in machine.placements.values():
             if placement.stage in ("sent", "fetching") and placement.job is not None:
-                other = placement.job.spec
-                if other.image not in machine.images:
-                    images[other.image] = other.image_gb
+                spec = placement.job.spec
+                if spec.image not in machine.images:
+                    images[spec.image] = spec.image_gb
     return images
 
 
 def fetch_s(job: Job, machine: Machine) -> float:
-    """Seconds until the machine holds the job's image: fetches under way share its rate."""
+    """Returns the seconds until the machine holds the job's image.
+
+    All its fetches share the machine's fetch rate.
+    """
     image = job.spec.image
     if image in machine.images or machine.type is None:
         return 0.0
-    under_way = images_being_fetched(machine)
-    gb = sum(under_way.values())
-    if image not in under_way:
+    fetches = images_being_fetched(machine)
+    gb = sum(fetches.values())
+    if image not in fetches:
         gb += job.spec.image_gb
-    return gb / (machine.type.fetch_gb_per_s or 1.0)
+    return gb / (machine.type.fetch_gb_per_s or DEFAULT_FETCH_GB_PER_S)
 
 
-def fetches_or_holds(image: str, machine: Machine) -> bool:
-    """Does the machine hold the image, or is it under way?"""
+def holds_or_fetches_image(image: str, machine: Machine) -> bool:
+    """Returns whether the machine holds the image or is fetching it."""
     return image in machine.images or image in images_being_fetched(machine)
 
 
-def loss(placement: Placement, now: Instant) -> float:
-    """Seconds of work that are lost if the task is stopped now."""
+def lost_work_s(placement: Placement, now: Instant) -> float:
+    """Returns the seconds of work that are lost if the task is stopped now.
+
+    A job with checkpoints loses no more than the time to save.
+    """
     if placement.stage != "running" or placement.job is None:
         return 0.0
     ran = now - placement.ran_since
@@ -132,6 +146,6 @@
 
 
 def stop_grace_s(placement: Placement) -> float:
-    """The time that the task needs to save when it is stopped."""
+    """Returns the seconds that the task needs to save its progress when it is stopped."""
     spec = placement.job.spec if placement.job else None
     return spec.save_s if spec and spec.checkpoint_s > 0 else 0.0
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -116,7 +116,7 @@
         return effects
 
     with (
-        patch.object(Scheduler, "_begin", checked_begin),
+        patch.object(Scheduler, "_prepare_turn", checked_begin),
         patch.object(Node, "handle", checked_handle),
     ):
         yield done
