--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -105,7 +105,7 @@
             "/commit",
             state_messages.transaction(effect.when, effect.then),
             COMMIT_S,
-            state_messages.committed,
+            state_messages.decode_commit,
             until=effect.until,
         )
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -137,4 +137,4 @@
         "then": [{"write": "a/b", "value": {"x": 1}, "grant": 7}, {"drop": "c/d"}],
     }
     with pytest.raises(codec.Malformed):
-        state_messages.committed(codec.encode({"epoch": "x"}))
+        state_messages.decode_commit(codec.encode({"epoch": "x"}))
