--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -94,7 +94,7 @@
             f"/follow?under={root}&since={since}&wait_ms=0",
             None,
             READ_S,
-            state_messages.events,
+            state_messages.decode_events,
         )
 
     async def commit(self, effect: t.Commit) -> Result:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -117,7 +117,7 @@
 
 
 def test_state_service_messages() -> None:
-    changes, epoch = state_messages.events(
+    changes, epoch = state_messages.decode_events(
         codec.encode(
             {
                 "epoch": 433,
