--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -316,7 +316,7 @@
         return Reply(answer.status, codec.encode(answer.body), answer.retry_after)
 
     async def _beat(self, body: bytes) -> Reply:
-        report = wire.report(body)
+        report = wire.decode_report(body)
         answer: t.ReportAnswer | None = await self._ask(t.ReportReceived(0, report), BEAT_S)
         if answer is None or answer.status == 503 or self._loop.time() >= answer.until:
             return Reply(503, codec.encode({}))
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -201,7 +201,7 @@
             "/do",
             wire.commands(effect.token, effect.session, effect.orders),
             COMMAND_S,
-            wire.report,
+            wire.decode_report,
             also=(409,),
             until=effect.until,
         )
@@ -211,7 +211,7 @@
         client = self._client(addr)
         if client is None:
             return 0, None, False
-        return await self.call(client, "GET", "/status", None, COMMAND_S, wire.report)
+        return await self.call(client, "GET", "/status", None, COMMAND_S, wire.decode_report)
 
     def _client(self, addr: str) -> Client | None:
         client = self._clients.get(addr)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -59,7 +59,7 @@
 
 
 def test_a_report() -> None:
-    report = wire.report(codec.encode(BEAT))
+    report = wire.decode_report(codec.encode(BEAT))
     assert (report.session, report.seq, report.token, report.notice_s) == (1, 88, 41, None)
     assert report.tasks[0] == t.TaskReport(TaskId(JobId("j-000412"), 3), Attempt(2), "running")
     assert (report.tasks[1].stage, report.tasks[1].cause) == ("ended", "done")
@@ -68,14 +68,14 @@
 def test_a_list_of_tasks_that_was_read_before_is_not_read_again() -> None:
     """To the byte the same, it means the same; anything else is read, and long ones each time."""
     legs = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(4)]
-    first = wire.report(codec.encode({**BEAT, "legs": legs}))
-    later = wire.report(codec.encode({**BEAT, "tick": 90, "legs": legs}))
+    first = wire.decode_report(codec.encode({**BEAT, "legs": legs}))
+    later = wire.decode_report(codec.encode({**BEAT, "tick": 90, "legs": legs}))
     assert later.tasks is first.tasks and later.seq == 90
     changed = [{**legs[0], "stage": "flushing"}, *legs[1:]]
-    other = wire.report(codec.encode({**BEAT, "legs": changed}))
+    other = wire.decode_report(codec.encode({**BEAT, "legs": changed}))
     assert [e.stage for e in other.tasks] == ["saving", *["running"] * 3]
     many = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(400)]
-    long = [wire.report(codec.encode({**BEAT, "legs": many})) for _ in range(2)]
+    long = [wire.decode_report(codec.encode({**BEAT, "legs": many})) for _ in range(2)]
     assert long[0].tasks == long[1].tasks and long[0].tasks is not long[1].tasks
     assert len(long[0].tasks) == 400
 
@@ -83,19 +83,19 @@
 @pytest.mark.parametrize("legs", [[{"leg": "j-1", "try": 1}], [{"leg": "j-1/x", "try": 1}], 3])
 def test_a_malformed_report(legs: object) -> None:
     with pytest.raises(codec.Malformed):
-        wire.report(codec.encode({**BEAT, "legs": legs}))
+        wire.decode_report(codec.encode({**BEAT, "legs": legs}))
 
 
 def test_nulls_in_a_report_equal_omissions() -> None:
     bare = {k: BEAT[k] for k in ("host", "tenure", "tick")}
     nulls = {**dict.fromkeys(BEAT), **bare}
-    assert wire.report(codec.encode(nulls)) == wire.report(codec.encode(bare))
+    assert wire.decode_report(codec.encode(nulls)) == wire.decode_report(codec.encode(bare))
     with pytest.raises(codec.Malformed):
-        wire.report(codec.encode([bare]))
+        wire.decode_report(codec.encode([bare]))
 
 
 def test_tokens_may_be_large() -> None:
-    assert wire.report(codec.encode({**BEAT, "baton": 2**63 + 5})).token == 2**63 + 5
+    assert wire.decode_report(codec.encode({**BEAT, "baton": 2**63 + 5})).token == 2**63 + 5
 
 
 def test_orders() -> None:
