--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -303,7 +303,7 @@
         fields = codec.decode_map(body)
         uid = wire.submission_uid(fields) or ""
         try:
-            event = t.Submit(0, uid, wire.submission(fields))
+            event = t.Submit(0, uid, wire.decode_submission(fields))
         except codec.Malformed as problem:
             event = t.Submit(0, uid, None, str(problem))
         return await self._user(event)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -48,14 +48,16 @@
 
 
 def test_a_submission_and_back() -> None:
-    spec = wire.submission(codec.decode_map(codec.encode(JOB)))
+    spec = wire.decode_submission(codec.decode_map(codec.encode(JOB)))
     assert (spec.tasks, spec.rank, spec.types, spec.deadline_s) == (16, 1, ("g8",), 900.0)
     assert wire.job_body(spec) == JOB
 
 
 def test_null_equals_omitted_and_unknown_is_ignored() -> None:
     body = {k: v for k, v in JOB.items() if k != "yard"} | {"colour": "red"}
-    assert wire.submission(body) == wire.submission(codec.decode_map(codec.encode(JOB)))
+    assert wire.decode_submission(body) == wire.decode_submission(
+        codec.decode_map(codec.encode(JOB))
+    )
 
 
 def test_a_report() -> None:
