--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -132,7 +132,7 @@
         self._next = 0.0
         self._pace = asyncio.Lock()
 
-    async def _turn(self) -> None:
+    async def _wait_for_slot(self) -> None:
         # One waits at a time: those that fell due while the process stood still don't go at once.
         async with self._pace:
             loop = asyncio.get_running_loop()
@@ -143,7 +143,7 @@
     async def _paced(
         self, method: str, target: str, body: Any, read: Callable[[bytes], Any]
     ) -> Result:
-        await self._turn()
+        await self._wait_for_slot()
         return await self.call(self._client, method, target, body, CLOUD_S, read)
 
     async def catalog(self) -> Result:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -115,7 +115,7 @@
         went: list[float] = []
 
         async def go() -> None:
-            await cloud._turn()
+            await cloud._wait_for_slot()
             went.append(loop.time())
 
         tasks = [asyncio.create_task(go()) for _ in range(10)]
