--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -140,7 +140,7 @@
                 await asyncio.sleep(self._next - loop.time())
             self._next = loop.time() + self._gap
 
-    async def _paced(
+    async def _call_paced(
         self, method: str, target: str, body: Any, read: Callable[[bytes], Any]
     ) -> Result:
         await self._wait_for_slot()
@@ -148,14 +148,14 @@
 
     async def catalog(self) -> Result:
         """The machine types."""
-        return await self._paced("GET", "/catalog", None, cloud_messages.catalog)
+        return await self._call_paced("GET", "/catalog", None, cloud_messages.catalog)
 
     async def list_machines(self) -> Result:
         """All pages of the machine list."""
         machines: list[t.CloudMachine] = []
         since: str | None = None
         while True:
-            status, body, sent = await self._paced(
+            status, body, sent = await self._call_paced(
                 "GET", cloud_messages.list_path(since, LIST_PAGE), None, cloud_messages.cloud_list
             )
             if status != 200:
@@ -168,7 +168,7 @@
 
     async def rent(self, e: t.Rent) -> Result:
         """Rent machines."""
-        return await self._paced(
+        return await self._call_paced(
             "POST",
             "/machines",
             cloud_messages.hire(e.name, e.type, e.zone, e.spot, e.number),
@@ -177,7 +177,7 @@
 
     async def release(self, machines: list[Any]) -> Result:
         """Return machines."""
-        return await self._paced(
+        return await self._call_paced(
             "POST", "/machines/release", cloud_messages.release(machines), lambda body: None
         )
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -82,7 +82,7 @@
     class Paged(Cloud):
         fail_at = ""
 
-        async def _paced(self, method: str, target: str, body: Any, read: Any) -> Any:
+        async def _call_paced(self, method: str, target: str, body: Any, read: Any) -> Any:
             since = target.partition("since=")[2]
             if since == self.fail_at and since:
                 return 503, None, True
