--- a/runcourse/net/full_read.py
+++ b/runcourse/net/full_read.py
@@ -12,7 +12,7 @@
 
 from ..wire import state_messages
 
-FOLLOW_EVERY = 8  # pages between two looks at what changed meanwhile
+PAGES_PER_FOLLOW = 8  # pages between two looks at what changed meanwhile
 THROTTLED_S = 0.1  # after a 429
 MOST_THROTTLED = 50  # waits of that kind in one attempt
 TOO_OLD = 410
@@ -64,7 +64,7 @@
                 changes, epoch = self._changes, self._epoch or 0
                 self._begin()
                 return 200, (changes, epoch), True
-            if self._pages % FOLLOW_EVERY == 0:
+            if self._pages % PAGES_PER_FOLLOW == 0:
                 status, sent = await self._follow(root)
         return status, None, sent
 
--- a/tests/test_full_read.py
+++ b/tests/test_full_read.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from runcourse.net.full_read import FOLLOW_EVERY, FullRead
+from runcourse.net.full_read import PAGES_PER_FOLLOW, FullRead
 from runcourse.wire.state_messages import Change, Page, Pair
 
 
@@ -90,7 +90,7 @@
 
 def test_a_resumed_read_is_as_recent_as_the_call_that_resumed_it() -> None:
     """Its answer serves who asked before the call: what was read earlier is brought up to date."""
-    keys = ScriptedKeys(keys=10 * (FOLLOW_EVERY - 1), page=10)  # too few to follow on the way
+    keys = ScriptedKeys(keys=10 * (PAGES_PER_FOLLOW - 1), page=10)  # too few to follow on the way
     keys.fail = {5: 503}
     full = FullRead(keys)
     assert asyncio.run(full.run("rc/"))[0] == 503
@@ -103,14 +103,14 @@
 
 def test_a_full_read_that_changes_outran_begins_anew() -> None:
     """More changed than the state service remembers, between two pages."""
-    keys = ScriptedKeys(keys=10 * (FOLLOW_EVERY + 3), page=10)
+    keys = ScriptedKeys(keys=10 * (PAGES_PER_FOLLOW + 3), page=10)
 
     def outrun() -> None:
         for n in range(50):
             keys.write(f"rc/{n:04d}", None if n % 2 else 1000 + n)
         keys.forgotten = keys.epoch
 
-    keys.before = {FOLLOW_EVERY + 1: outrun}
+    keys.before = {PAGES_PER_FOLLOW + 1: outrun}
     values = read_until_done(keys, 1)
     assert values == {k: v for k, (v, _) in keys.data.items()}
 
