--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -20,7 +20,7 @@
 READ_SIZE = 65536
 IDLE_S = 75.0
 BODY_S = 10.0
-TURNED_AWAY_PER_ROTATION = 16  # connections ended as too many, until a kept one gives way
+CLOSED_PER_ROTATION = 16  # connections ended as too many, until a kept one gives way
 REASONS = {
     200: b"OK",
     201: b"Created",
@@ -217,7 +217,7 @@
     def _rotate(self) -> None:
         """Now and then the connection kept for longest gives way, so the next to come is kept."""
         self._turned_away += 1
-        if self._turned_away % TURNED_AWAY_PER_ROTATION == 0:
+        if self._turned_away % CLOSED_PER_ROTATION == 0:
             oldest = next((w for w in self._crowded if w not in self._giving_way), None)
             if oldest is not None:
                 self._giving_way.add(oldest)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -36,7 +36,7 @@
 from runcourse.core.stored_values import MACHINE, GoneMachine, MachineValue
 from runcourse.core.users import FAIR_BACKLOG_S
 from runcourse.core.versions import PAGED_LOADS_VERSION
-from runcourse.net.http import TURNED_AWAY_PER_ROTATION, Client, Server
+from runcourse.net.http import CLOSED_PER_ROTATION, Client, Server
 from runcourse.wire.peer_messages import (
     Heartbeat,
     MachineLoad,
@@ -434,7 +434,7 @@
     async def story(server: Server, port: int) -> None:
         workers = [Client("127.0.0.1", port, limit=1) for _ in range(12)]
         kept: dict[int, int] = dict.fromkeys(range(12), 0)
-        for _ in range(12 * TURNED_AWAY_PER_ROTATION):
+        for _ in range(12 * CLOSED_PER_ROTATION):
             for number, worker in enumerate(workers):
                 assert (await worker.request("POST", BEAT, b"x", 5.0))[0] == 200
                 kept[number] += bool(worker._idle) and not worker._idle[0].reader.at_eof()
