--- a/runcourse/net/peers.py
+++ b/runcourse/net/peers.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger("runcourse.peers")
 
-MOST_QUEUED_BYTES = 4 << 20  # for one peer; a plan for a large fleet is many messages
+MAX_QUEUED_BYTES = 4 << 20  # for one peer; a plan for a large fleet is many messages
 LINE_LIMIT = 1 << 20
 STUCK_BYTES = 1 << 20
 
@@ -44,7 +44,7 @@
     def send(self, line: bytes) -> None:
         self._queue.append(line)
         self._queued_bytes += len(line)
-        while self._queued_bytes > MOST_QUEUED_BYTES:
+        while self._queued_bytes > MAX_QUEUED_BYTES:
             self._queued_bytes -= len(self._queue.popleft())
         self._wake.set()
 
