--- a/runcourse/net/peers.py
+++ b/runcourse/net/peers.py
@@ -27,7 +27,7 @@
 
 MAX_QUEUED_BYTES = 4 << 20  # for one peer; a plan for a large fleet is many messages
 LINE_LIMIT = 1 << 20
-STUCK_BYTES = 1 << 20
+MAX_UNSENT_BYTES = 1 << 20
 
 
 class _Outbound:
@@ -79,7 +79,7 @@
                 self._wake.clear()
                 if self._queue:
                     writer.write(self._take_queue())
-                    if writer.transport.get_write_buffer_size() > STUCK_BYTES:
+                    if writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
                         return
                 waker = asyncio.ensure_future(self._wake.wait())
                 await asyncio.wait((ended, waker), return_when=asyncio.FIRST_COMPLETED)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -18,7 +18,7 @@
 from runcourse.core.ids import Instant, Member, ShareNo
 from runcourse.net.clients import Cloud
 from runcourse.net.http import Client, Reply, Server, TooLate, Unanswered
-from runcourse.net.peers import MAX_QUEUED_BYTES, STUCK_BYTES, _Outbound
+from runcourse.net.peers import MAX_QUEUED_BYTES, MAX_UNSENT_BYTES, _Outbound
 from runcourse.wire.peer_messages import MachineLoad, ShareLoad, encode
 
 BEAT = "/agent/beat"
@@ -184,7 +184,7 @@
 
     monkeypatch.setattr(asyncio, "open_connection", noting)
     buffered = asyncio.run(main())
-    assert 0 < buffered <= STUCK_BYTES + MAX_QUEUED_BYTES
+    assert 0 < buffered <= MAX_UNSENT_BYTES + MAX_QUEUED_BYTES
 
 
 def test_a_client_that_is_gone_when_its_answer_is_ready_leaves_no_error() -> None:
