--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -146,7 +146,7 @@
             case t.SendToPeer():
                 self._links.send(effect.member, effect.message)
             case _:
-                self._start(effect.tag, self._call(effect))
+                self._start_call(effect.tag, self._call(effect))
 
     def _call(self, effect: Any) -> Coroutine[Any, Any, Result]:
         """The call to an outside system that an effect asks for."""
@@ -192,7 +192,7 @@
         log.info("settings replaced: %s", self._policy_file.path)
         return {"reloaded": str(self._policy_file.path)}
 
-    def _start(self, tag: Any, work: Coroutine[Any, Any, Result]) -> None:
+    def _start_call(self, tag: Any, work: Coroutine[Any, Any, Result]) -> None:
         began = self._loop.time()
 
         async def go() -> None:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -239,7 +239,7 @@
             raise RuntimeError("unable to perform operation")
 
         heard: list[t.Outcome] = []
-        service.daemon._start(heard.append, fails())
+        service.daemon._start_call(heard.append, fails())
         async with asyncio.timeout(5):
             while not heard:
                 await asyncio.sleep(0.01)
