--- a/runcourse/net/__init__.py
+++ b/runcourse/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: HTTP, the outside systems, links between controllers."""
+"""Networking: HTTP, clients of external systems, and connections between controllers."""
--- a/runcourse/net/full_read.py
+++ b/runcourse/net/full_read.py
@@ -1,8 +1,8 @@
-"""Reads every key of the state service, page by page, and goes on after a failure.
+"""Reads every key of the state service page by page, and resumes after a failure.
 
-Tens of thousands of keys are many pages. An attempt that fails on the way must not cost what was
-read, and what changes meanwhile must not fall out of the state service's memory of changes: so the
-changes are followed between pages, and a resumed read begins with them.
+Tens of thousands of keys take many pages. A failed attempt must not lose the pages read so far,
+and the state service keeps only recent changes. Therefore the changes are also read between pages,
+and a resumed read begins with them.
 """
 
 from __future__ import annotations
@@ -12,10 +12,11 @@
 
 from ..wire import state_messages
 
-PAGES_PER_FOLLOW = 8  # pages between two looks at what changed meanwhile
-THROTTLED_S = 0.1  # after a 429
-MOST_THROTTLED = 50  # waits of that kind in one attempt
-TOO_OLD = 410
+PAGES_PER_FOLLOW = 8  # pages between two reads of the changes made meanwhile
+THROTTLED_STATUS = 429
+THROTTLE_DELAY_S = 0.1
+MAX_THROTTLE_RETRIES = 50  # in one attempt
+TOO_OLD_STATUS = 410  # the changes since the revision are no longer kept
 
 PageResult = tuple[int, state_messages.Page | None, bool]
 EventsResult = tuple[int, tuple[list[state_messages.Change], int] | None, bool]
@@ -23,67 +24,72 @@
 
 
 class KeyReader(Protocol):
-    """The requests that a full read is made of."""
+    """The requests that a full read makes."""
 
     async def page(self, root: str, since: str) -> PageResult:
-        """A page of the keys under the root, after `since`."""
+        """Reads a page of the keys under the root, after the key `since`."""
 
     async def follow(self, root: str, since: int) -> EventsResult:
-        """Changes under the root since a revision."""
+        """Reads the changes under the root since a revision."""
 
 
 class FullRead:
-    """A read of every key under a root; `run` begins it or goes on with it."""
+    """A read of every key under a root; `run` begins or resumes it."""
 
     def __init__(self, reader: KeyReader) -> None:
         self._reader = reader
-        self._begin()
+        self._reset()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._changes: list[state_messages.Change] = []
-        self._epoch: int | None = None  # up to which changes are known
-        self._since = ""  # the last key that was read
-        self._pages = 0
+        # The revision up to which changes are known; None before the first page.
+        self._revision: int | None = None
+        self._last_key = ""
+        self._pages_read = 0
 
     async def run(self, root: str) -> Result:
-        """Every key, and the revision from which on changes must be followed. After a failure the
-        next call goes on; its answer is as recent as that call."""
-        status, sent = await self._follow(root) if self._epoch is not None else (200, True)
-        throttled = 0
+        """Returns (status, (changes, revision), sent); changes after the revision must be followed.
+
+        After a failure the next call resumes the read; its answer is as recent as that call.
+        """
+        status, sent = (
+            await self._follow_changes(root) if self._revision is not None else (200, True)
+        )
+        retries = 0
         while status == 200:
-            status, page, sent = await self._reader.page(root, self._since)
-            if status == 429 and throttled < MOST_THROTTLED:
-                throttled += 1
+            status, page, sent = await self._reader.page(root, self._last_key)
+            if status == THROTTLED_STATUS and retries < MAX_THROTTLE_RETRIES:
+                retries += 1
                 status = 200
-                await asyncio.sleep(THROTTLED_S)
+                await asyncio.sleep(THROTTLE_DELAY_S)
                 continue
             if status != 200 or page is None:
                 break
-            self._take(page)
+            self._add_page(page)
             if not page.has_next or not page.pairs:
-                changes, epoch = self._changes, self._epoch or 0
-                self._begin()
-                return 200, (changes, epoch), True
-            if self._pages % PAGES_PER_FOLLOW == 0:
-                status, sent = await self._follow(root)
+                changes, revision = self._changes, self._revision or 0
+                self._reset()
+                return 200, (changes, revision), True
+            if self._pages_read % PAGES_PER_FOLLOW == 0:
+                status, sent = await self._follow_changes(root)
         return status, None, sent
 
-    def _take(self, page: state_messages.Page) -> None:
-        if self._epoch is None:
-            self._epoch = page.epoch
-        self._changes.extend((p.key, p.value, p.stamp) for p in page.pairs)
-        self._pages += 1
+    def _add_page(self, page: state_messages.Page) -> None:
+        if self._revision is None:
+            self._revision = page.epoch
+        self._changes.extend((pair.key, pair.value, pair.stamp) for pair in page.pairs)
+        self._pages_read += 1
         if page.pairs:
-            self._since = page.pairs[-1].key
-
-    async def _follow(self, root: str) -> tuple[int, bool]:
-        """Bring what was read up to date; from the beginning if it is too old for that."""
-        assert self._epoch is not None
-        status, events, sent = await self._reader.follow(root, self._epoch)
-        if status == TOO_OLD:
-            self._begin()
+            self._last_key = page.pairs[-1].key
+
+    async def _follow_changes(self, root: str) -> tuple[int, bool]:
+        """Adds the changes made meanwhile; restarts the full read if they are no longer kept."""
+        assert self._revision is not None
+        status, events, sent = await self._reader.follow(root, self._revision)
+        if status == TOO_OLD_STATUS:
+            self._reset()
             return 200, sent
         if status == 200 and events is not None:
-            changes, self._epoch = events
+            changes, self._revision = events
             self._changes.extend(changes)
         return status, sent
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over asyncio streams, with h11: a server, and a client with pooled connections."""
+"""HTTP/1.1 over asyncio streams with h11: a server, and a client with pooled connections."""
 
 from __future__ import annotations
 
@@ -13,15 +13,22 @@
 
 import h11
 
-from ..wire.codec import CONTENT_TYPE, MAX_BODY
+from ..wire.codec import CONTENT_TYPE, MAX_BODY_BYTES
 
 log = logging.getLogger("runcourse.http")
 
-READ_SIZE = 65536
-IDLE_S = 75.0
-BODY_S = 10.0
-CLOSED_PER_ROTATION = 16  # connections ended as too many, until a kept one gives way
-REASONS = {
+READ_SIZE_BYTES = 65536
+MAX_HEAD_BYTES = 16 * 1024
+IDLE_TIMEOUT_S = 75.0
+IDLE_CHECKS_PER_TIMEOUT = 8
+BODY_TIMEOUT_S = 10.0
+LISTEN_BACKLOG = 256
+CACHED_HEADS = 1024
+DEFAULT_CONNECTIONS = 4
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
+# After this many connections closed over the path's limit, the oldest kept one is closed too.
+CLOSED_PER_ROTATION = 16
+REASON_PHRASES = {
     200: b"OK",
     201: b"Created",
     400: b"Bad Request",
@@ -48,14 +55,14 @@
 Handler = Callable[[str, str, bytes], Awaitable[Reply]]
 
 
-_END = h11.EndOfMessage()
+_END_OF_MESSAGE = h11.EndOfMessage()
 
 
-# h11 checks every header of every message that it is told to send; few differ.
+# h11 validates every header of every message that it sends. Few heads differ, so they are cached.
 
 
-@lru_cache(maxsize=1024)
-def _response(
+@lru_cache(maxsize=CACHED_HEADS)
+def _response_head(
     status: int, content_type: str, length: int, retry_after: int | None, close: bool
 ) -> h11.Response:
     headers = [("Content-Type", content_type), ("Content-Length", str(length))]
@@ -63,10 +70,10 @@
         headers.append(("Retry-After", str(retry_after)))
     if close:
         headers.append(("Connection", "close"))
-    return h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b""))
+    return h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES.get(status, b""))
 
 
-@lru_cache(maxsize=1024)
+@lru_cache(maxsize=CACHED_HEADS)
 def _request_head(method: str, target: str, host: str, length: int | None) -> h11.Request:
     headers = [("Host", host)]
     if length is not None:
@@ -75,62 +82,74 @@
 
 
 class Server:
-    """Serves one handler; faults of a client end its connection, never the process."""
+    """An HTTP server with one handler; errors of a client close only its connection."""
 
     def __init__(
-        self, handler: Handler, max_connections: int, crowd: str = "", crowd_connections: int = 0
+        self,
+        handler: Handler,
+        max_connections: int,
+        limited_path: str = "",
+        max_limited: int = 0,
     ) -> None:
-        """Of the connections, those whose clients ask for the path `crowd` have a limit of their
-        own: beyond it their answers end the connection, so there are always some for others.
-        Which ones are kept rotates slowly, so that none of many clients always has to connect."""
+        """Creates a server of at most `max_connections` connections.
+
+        At most `max_limited` of them are kept for clients that request `limited_path`: beyond that,
+        the answer closes the connection, so that there are always some for other clients. Which
+        connections are kept rotates slowly, so that no client has to reconnect for each request.
+        """
         self._handler = handler
-        self._max = max_connections
-        self._crowd = crowd
-        self._crowd_max = crowd_connections
-        self._crowded: dict[asyncio.StreamWriter, None] = {}  # those kept for longest first
-        self._giving_way: set[asyncio.StreamWriter] = set()  # of those, to be ended when answered
-        self._turned_away = 0
+        self._max_connections = max_connections
+        self._limited_path = limited_path
+        self._max_limited = max_limited
+        # Kept connections of clients of `limited_path`, oldest first.
+        self._limited: dict[asyncio.StreamWriter, None] = {}
+        # Those of them that the next answer closes.
+        self._closing: set[asyncio.StreamWriter] = set()
+        self._closed_over_limit = 0
         self._open: set[asyncio.StreamWriter] = set()
-        # Without a whole request's head, oldest first; since when.
+        # Connections that wait for the head of a request, oldest first, and since when (loop time).
         self._idle: dict[asyncio.StreamWriter, float] = {}
         self._server: asyncio.Server | None = None
 
     @property
     def open(self) -> int:
-        """Connections open now."""
+        """The number of open connections."""
         return len(self._open)
 
     @property
     def limited_open(self) -> int:
-        """Those of the crowd among them."""
-        return len(self._crowded)
+        """The number of kept connections of clients of the limited path."""
+        return len(self._limited)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
-        self._server = await asyncio.start_server(self._serve, host, port, backlog=256)
-        self._sweep()
+        """Listens on an address."""
+        self._server = await asyncio.start_server(self._serve, host, port, backlog=LISTEN_BACKLOG)
+        self._close_idle()
+
+    def _close_idle(self) -> None:
+        """Closes connections that have been idle for too long, and schedules the next check.
 
-    def _sweep(self) -> None:
-        """One timer for all connections: thousands of them, set and cancelled for each request,
-        took more time than the reading."""
+        One timer serves all connections: with thousands of them, setting and cancelling a timer for
+        each request takes more time than reading it.
+        """
         if self._server is None or not self._server.is_serving():
             return
         loop = asyncio.get_running_loop()
         for writer, since in list(self._idle.items()):
-            if loop.time() - since < IDLE_S:
+            if loop.time() - since < IDLE_TIMEOUT_S:
                 break
-            self._forget(writer)
+            self._remove(writer)
             writer.close()
-        loop.call_later(IDLE_S / 8, self._sweep)
+        loop.call_later(IDLE_TIMEOUT_S / IDLE_CHECKS_PER_TIMEOUT, self._close_idle)
 
     @property
     def port(self) -> int:
-        """The port listened on."""
+        """The port of the listening socket."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Stop listening and close all connections."""
+        """Stops listening; open connections stay open."""
         if self._server is not None:
             self._server.close()
 
@@ -138,112 +157,121 @@
         await self.serve(reader, writer)
 
     async def serve(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, begun: bytes = b""
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, received: bytes = b""
     ) -> None:
-        """Serve one connection, of which `begun` was read already."""
-        if len(self._open) >= self._max and not self._close_oldest_idle():
+        """Serves one connection, from which `received` has already been read."""
+        if len(self._open) >= self._max_connections and not self._close_oldest_idle():
             writer.transport.abort()
             return
         self._open.add(writer)
         try:
-            await self._converse(reader, writer, begun)
+            await self._serve_requests(reader, writer, received)
         except (TimeoutError, OSError, h11.LocalProtocolError):
             pass
         finally:
-            self._forget(writer)
+            self._remove(writer)
             writer.transport.abort() if writer.transport.is_closing() else writer.close()
 
-    def _forget(self, writer: asyncio.StreamWriter) -> None:
+    def _remove(self, writer: asyncio.StreamWriter) -> None:
         self._open.discard(writer)
-        self._leave_crowd(writer)
+        self._remove_limited(writer)
         self._idle.pop(writer, None)
 
-    def _leave_crowd(self, writer: asyncio.StreamWriter) -> None:
-        self._crowded.pop(writer, None)
-        self._giving_way.discard(writer)
+    def _remove_limited(self, writer: asyncio.StreamWriter) -> None:
+        self._limited.pop(writer, None)
+        self._closing.discard(writer)
 
     def _close_oldest_idle(self) -> bool:
-        """A client whose connection is closed between two requests opens another one; one that
-        is refused may take the node for dead."""
+        """Closes the connection that has been idle for longest; returns whether there was one.
+
+        A client whose connection is closed between two requests opens another one, but a client
+        whose connection is refused may consider the node dead.
+        """
         writer = next(iter(self._idle), None)
         if writer is None:
             return False
-        self._forget(writer)
+        self._remove(writer)
         writer.close()
         return True
 
-    async def _converse(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, begun: bytes
+    async def _serve_requests(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, received: bytes
     ) -> None:
-        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=16 * 1024)
-        if begun:
-            conn.receive_data(begun)
+        protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        if received:
+            protocol.receive_data(received)
         while True:
             try:
                 self._idle[writer] = asyncio.get_running_loop().time()
-                request, body = await self._request(conn, reader, writer)
-            except h11.RemoteProtocolError as problem:
-                await self._refuse(conn, writer, problem.error_status_hint or 400)
+                request, body = await self._read_request(protocol, reader, writer)
+            except h11.RemoteProtocolError as error:
+                await self._refuse(protocol, writer, error.error_status_hint or 400)
                 return
             if request is None:
                 return
             if body is None:
-                await self._refuse(conn, writer, 413)
+                await self._refuse(protocol, writer, 413)
                 return
             target = request.target.decode("ascii", "replace")
             reply = await self._handler(request.method.decode("ascii"), target, body)
-            if writer.is_closing():  # the client is gone; uvloop raises if it is written to
+            if writer.is_closing():  # the client closed it; uvloop raises on a write
                 return
-            writer.write(self._encode(conn, reply, self._crowds(writer, target)))
+            writer.write(self._encode(protocol, reply, self._must_close(writer, target)))
             await writer.drain()
-            if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
+            if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
                 return
-            conn.start_next_cycle()
+            protocol.start_next_cycle()
 
-    def _crowds(self, writer: asyncio.StreamWriter, target: str) -> bool:
-        """Must this answer end its connection, as there are too many of its kind?"""
-        if not self._crowd or target != self._crowd:
-            self._leave_crowd(writer)
+    def _must_close(self, writer: asyncio.StreamWriter, target: str) -> bool:
+        """Returns whether the answer must close the connection, as the path's limit is exceeded."""
+        if not self._limited_path or target != self._limited_path:
+            self._remove_limited(writer)
             return False
-        if writer in self._giving_way:
-            self._leave_crowd(writer)
+        if writer in self._closing:
+            self._remove_limited(writer)
             return True
-        if writer not in self._crowded and len(self._crowded) >= self._crowd_max:
+        if writer not in self._limited and len(self._limited) >= self._max_limited:
             self._rotate()
             return True
-        self._crowded[writer] = None
+        self._limited[writer] = None
         return False
 
     def _rotate(self) -> None:
-        """Now and then the connection kept for longest gives way, so the next to come is kept."""
-        self._turned_away += 1
-        if self._turned_away % CLOSED_PER_ROTATION == 0:
-            oldest = next((w for w in self._crowded if w not in self._giving_way), None)
+        """Marks the oldest kept connection after each `CLOSED_PER_ROTATION` closed ones.
+
+        The next answer closes the marked connection, and a new client's connection is kept.
+        """
+        self._closed_over_limit += 1
+        if self._closed_over_limit % CLOSED_PER_ROTATION == 0:
+            oldest = next((kept for kept in self._limited if kept not in self._closing), None)
             if oldest is not None:
-                self._giving_way.add(oldest)
+                self._closing.add(oldest)
 
-    async def _request(
-        self, conn: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _read_request(
+        self, protocol: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> tuple[h11.Request | None, bytes | None]:
-        """The next request; no request at the end of the connection, no body if too large."""
+        """Returns (request, body).
+
+        The request is None at the end of the connection; the body is None if it is too large.
+        """
         request: h11.Request | None = None
         chunks: list[bytes] = []
         size = 0
         while True:
-            event = conn.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                if request is None:  # no timer for each: see `_sweep`
-                    data = await reader.read(READ_SIZE)
+                if request is None:  # without a timer: see `_close_idle`
+                    data = await reader.read(READ_SIZE_BYTES)
                 else:
-                    async with asyncio.timeout(BODY_S):
-                        data = await reader.read(READ_SIZE)
-                conn.receive_data(data)
+                    async with asyncio.timeout(BODY_TIMEOUT_S):
+                        data = await reader.read(READ_SIZE_BYTES)
+                protocol.receive_data(data)
             elif isinstance(event, h11.Request):
                 self._idle.pop(writer, None)
                 request = event
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > MAX_BODY:
+                if size > MAX_BODY_BYTES:
                     return request, None
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -251,66 +279,79 @@
             else:
                 return None, b""
 
-    def _encode(self, conn: h11.Connection, reply: Reply, close: bool = False) -> bytes:
-        after = None if reply.retry_after is None else max(1, round(reply.retry_after))
+    def _encode(self, protocol: h11.Connection, reply: Reply, close: bool = False) -> bytes:
+        retry_after = None if reply.retry_after is None else max(1, round(reply.retry_after))
         parts = [
-            conn.send(_response(reply.status, reply.content_type, len(reply.body), after, close))
+            protocol.send(
+                _response_head(
+                    reply.status, reply.content_type, len(reply.body), retry_after, close
+                )
+            )
         ]
         if reply.body:
-            parts.append(conn.send(h11.Data(data=reply.body)))
-        parts.append(conn.send(_END))
-        return b"".join(p for p in parts if p)
+            parts.append(protocol.send(h11.Data(data=reply.body)))
+        parts.append(protocol.send(_END_OF_MESSAGE))
+        return b"".join(part for part in parts if part)
 
     async def _refuse(
-        self, conn: h11.Connection, writer: asyncio.StreamWriter, status: int
+        self, protocol: h11.Connection, writer: asyncio.StreamWriter, status: int
     ) -> None:
-        if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE) and not writer.is_closing():
-            writer.write(self._encode(conn, Reply(status), close=True))
+        if protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE) and not writer.is_closing():
+            writer.write(self._encode(protocol, Reply(status), close=True))
             with contextlib.suppress(OSError):
                 await writer.drain()
         writer.close()
 
 
 class NotSent(Exception):
-    """The request surely did not leave."""
+    """Raised if the request was certainly not sent."""
 
 
 class TooLate(NotSent):
-    """It did not leave, as its time had passed."""
+    """Raised if the request was not sent because its time had passed."""
 
 
 class Unanswered(Exception):
-    """The request may have been carried out, or may yet be."""
+    """Raised if no answer came: the request may have been carried out, or may yet be."""
 
 
-class _Link:
-    __slots__ = ("conn", "reader", "writer")
+class _Connection:
+    __slots__ = ("protocol", "reader", "writer")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        self.conn = h11.Connection(h11.CLIENT)
+        self.protocol = h11.Connection(h11.CLIENT)
 
 
 class Client:
-    """Requests to one address. A connection carries one request at a time and is kept."""
+    """Sends requests to one address over at most `limit` connections.
+
+    A connection carries one request at a time and is kept for later requests.
+    """
 
-    def __init__(self, host: str, port: int, limit: int = 4, connect_s: float = 1.0) -> None:
+    def __init__(
+        self,
+        host: str,
+        port: int,
+        limit: int = DEFAULT_CONNECTIONS,
+        connect_s: float = DEFAULT_CONNECT_TIMEOUT_S,
+    ) -> None:
         self.host = host
         self.port = port
         self._connect_s = connect_s
-        self._idle: deque[_Link] = deque()
+        self._idle: deque[_Connection] = deque()
         self._slots = asyncio.Semaphore(limit)
-        self._host = f"{host}:{port}"
+        self._address = f"{host}:{port}"
         self._retired = False
 
     def retire(self) -> None:
-        """No more of its connections are kept, those in use now included."""
+        """Closes idle connections, and those in use as soon as they are answered."""
         self._retired = True
         self.close()
 
     def close(self) -> None:
-        """Close the connections that are not in use."""
+        """Closes the connections that are not in use."""
         while self._idle:
             self._idle.pop().writer.transport.abort()
 
@@ -322,72 +363,76 @@
         timeout_s: float,
         until: float = math.inf,
     ) -> tuple[int, bytes]:
-        """`until`: on the loop's clock, checked once nothing more is waited for before the
-        request leaves; a slot, a connection or a pause of the process may have taken long."""
+        """Sends a request and returns (status, body of the answer).
+
+        Raises `TooLate` if the loop's clock has reached `until`. This is checked last before the
+        request is sent, as waiting for a slot or a connection or a pause of the process may have
+        taken long. Raises `NotSent` if it cannot connect, `Unanswered` if no answer comes.
+        """
         async with self._slots:
-            link = await self._link()
+            connection = await self._acquire()
             if asyncio.get_running_loop().time() >= until:
-                self._idle.append(link)
-                raise TooLate(self._host)
+                self._idle.append(connection)
+                raise TooLate(self._address)
             try:
                 async with asyncio.timeout(timeout_s):
-                    status, answer, keep = await self._exchange(link, method, target, body)
-            except BaseException as problem:
-                link.writer.transport.abort()
-                self.close()  # what hung may be the path, not this one connection
-                # RuntimeError: uvloop's word for a connection that was closed before the write.
+                    status, answer, keep = await self._exchange(connection, method, target, body)
+            except BaseException as error:
+                connection.writer.transport.abort()
+                self.close()  # the network path may hang, not only this connection
+                # uvloop raises RuntimeError if the connection was closed before the write.
                 if isinstance(
-                    problem,
+                    error,
                     (OSError, TimeoutError, EOFError, RuntimeError, h11.RemoteProtocolError),
                 ):
-                    raise Unanswered(f"{self._host}: {problem!r}") from problem
+                    raise Unanswered(f"{self._address}: {error!r}") from error
                 raise
             if keep and not self._retired:
-                link.conn.start_next_cycle()
-                self._idle.append(link)
+                connection.protocol.start_next_cycle()
+                self._idle.append(connection)
             else:
-                link.writer.close()
+                connection.writer.close()
             return status, answer
 
-    async def _link(self) -> _Link:
+    async def _acquire(self) -> _Connection:
         while self._idle:
-            link = self._idle.pop()
-            if not link.reader.at_eof() and not link.writer.is_closing():
-                return link
-            link.writer.transport.abort()
+            connection = self._idle.pop()
+            if not connection.reader.at_eof() and not connection.writer.is_closing():
+                return connection
+            connection.writer.transport.abort()
         try:
             async with asyncio.timeout(self._connect_s):
                 reader, writer = await asyncio.open_connection(self.host, self.port)
-        except (OSError, TimeoutError) as problem:
-            raise NotSent(f"{self._host}: {problem!r}") from problem
-        return _Link(reader, writer)
+        except (OSError, TimeoutError) as error:
+            raise NotSent(f"{self._address}: {error!r}") from error
+        return _Connection(reader, writer)
 
     async def _exchange(
-        self, link: _Link, method: str, target: str, body: bytes | None
+        self, connection: _Connection, method: str, target: str, body: bytes | None
     ) -> tuple[int, bytes, bool]:
-        conn = link.conn
+        protocol = connection.protocol
         parts = [
-            conn.send(
-                _request_head(method, target, self._host, None if body is None else len(body))
+            protocol.send(
+                _request_head(method, target, self._address, None if body is None else len(body))
             )
         ]
         if body:
-            parts.append(conn.send(h11.Data(data=body)))
-        parts.append(conn.send(_END))
-        link.writer.write(b"".join(p for p in parts if p))
+            parts.append(protocol.send(h11.Data(data=body)))
+        parts.append(protocol.send(_END_OF_MESSAGE))
+        connection.writer.write(b"".join(part for part in parts if part))
         status = 0
         chunks: list[bytes] = []
         while True:
-            event = conn.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                data = await link.reader.read(READ_SIZE)
-                conn.receive_data(data)
+                data = await connection.reader.read(READ_SIZE_BYTES)
+                protocol.receive_data(data)
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                keep = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+                keep = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
                 return status, b"".join(chunks), keep
             elif isinstance(event, h11.ConnectionClosed):
                 raise EOFError("connection closed")
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text form, with prometheus_client. Nothing is kept between scrapes."""
+"""Metrics in the Prometheus text format. Each scrape computes them anew from the node's state."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 from ..core.node import Node
 
+BYTES_PER_KIB = 1024
+
 
 class _Collector(Collector):
     def __init__(self, node: Node, connections: int, malformed: int) -> None:
@@ -22,7 +24,7 @@
 
     def collect(self) -> Iterable[Metric]:
         node = self.node
-        plain = [
+        gauges = [
             ("runcourse_entitled", "1 while this controller may act", node.authority.entitled()),
             ("runcourse_leading", "1 on the leader", node.rental.leadership.leading),
             (
@@ -34,12 +36,12 @@
             (
                 "runcourse_shares_unsettled",
                 "owned shares whose tasks are not all located",
-                sum(not h.settled for h in node.shares.owned.values()),
+                sum(not share.settled for share in node.shares.owned.values()),
             ),
             (
                 "runcourse_tasks_waiting",
                 "tasks of owned shares that wait",
-                sum(len(w.pending) for w in node.scheduler.work.values()),
+                sum(len(job_work.pending) for job_work in node.scheduler.work.values()),
             ),
             (
                 "runcourse_write_backlog_seconds",
@@ -49,7 +51,10 @@
             (
                 "runcourse_machines_in_doubt",
                 "heard, but not shown to be reached",
-                sum(m.suspected and m.heard >= 0 for m in node.fleet.machines.values()),
+                sum(
+                    machine.suspected and machine.heard >= 0
+                    for machine in node.fleet.machines.values()
+                ),
             ),
             (
                 "runcourse_cancellations_unconfirmed",
@@ -61,11 +66,11 @@
             (
                 "runcourse_memory_bytes",
                 "largest resident size so far",
-                resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024,
+                resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * BYTES_PER_KIB,
             ),
         ]
-        for name, text, value in plain:
-            yield GaugeMetricFamily(name, text, value=float(value))
+        for name, help_text, value in gauges:
+            yield GaugeMetricFamily(name, help_text, value=float(value))
         jobs = GaugeMetricFamily("runcourse_jobs", "jobs known", labels=["stage"])
         open_jobs = len(node.jobs.open_jobs())
         jobs.add_metric(["open"], open_jobs)
@@ -74,7 +79,7 @@
         machines = GaugeMetricFamily(
             "runcourse_machines", "machines of owned shares", labels=["state"]
         )
-        usable = sum(node.fleet.usable(m) for m in node.fleet.machines.values())
+        usable = sum(node.fleet.usable(machine) for machine in node.fleet.machines.values())
         machines.add_metric(["usable"], usable)
         machines.add_metric(["other"], len(node.fleet.machines) - usable)
         yield machines
@@ -88,12 +93,12 @@
             gangs.add_metric([phase], phases[phase])
         yield gangs
         if node.policy.active:
-            yield from self._moves()
+            yield from self._move_metrics()
         if node.entitlements.active:
-            yield from self._entitlements()
+            yield from self._entitlement_metrics()
 
-    def _entitlements(self) -> Iterable[Metric]:
-        """How the organisations fare, on the leader; absent while none are stated."""
+    def _entitlement_metrics(self) -> Iterable[Metric]:
+        """Yields the metrics of organisations, on the leader; absent if there are none."""
         status = self.node.entitlements.status()
         in_force = not status["problem"]
         yield GaugeMetricFamily(
@@ -111,8 +116,8 @@
                     cpus.add_metric([row["organisation"], kind], row[kind])
         yield cpus
 
-    def _moves(self) -> Iterable[Metric]:
-        """What the locality policy did; absent while it is off."""
+    def _move_metrics(self) -> Iterable[Metric]:
+        """Yields the metrics of the locality policy; absent while it is off."""
         status = self.node.scheduler.migrations.status()
         moves = CounterMetricFamily(
             "runcourse_moves", "moves of running tasks by this process", labels=["result"]
@@ -135,7 +140,7 @@
 
 
 def render(node: Node, connections: int, malformed: int) -> tuple[bytes, str]:
-    """The metrics and their content type."""
+    """Returns the metrics and their content type."""
     registry = CollectorRegistry()
     registry.register(_Collector(node, connections, malformed))
     return generate_latest(registry), CONTENT_TYPE_PLAIN_0_0_4
--- a/runcourse/wire/__init__.py
+++ b/runcourse/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Spellings of messages, and nothing else knows them."""
+"""Encoding and decoding of messages; the outer names of fields appear only in this package."""
--- a/runcourse/wire/cloud_messages.py
+++ b/runcourse/wire/cloud_messages.py
@@ -1,4 +1,4 @@
-"""PROTOCOL's messages of the cloud, and nothing else knows their spellings."""
+"""Messages of the cloud's API; their outer field names appear only in this module."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .codec import Amount, Text, convert, decode_map
 
 
-class _Hull(Struct, frozen=True):
+class _MachineType(Struct, frozen=True):
     label: Text
     vcpus: Amount
     ram_gb: Amount
@@ -26,10 +26,10 @@
 
 
 class _Catalog(Struct, frozen=True):
-    hulls: list[_Hull]
+    hulls: list[_MachineType]
 
 
-class _CloudHost(Struct, frozen=True):
+class _Machine(Struct, frozen=True):
     uid: Text
     hull: Text
     yard: Text
@@ -39,67 +39,67 @@
     age_s: float = 0.0
 
 
-class _CloudList(Struct, frozen=True):
-    hosts: list[_CloudHost]
+class _MachinePage(Struct, frozen=True):
+    hosts: list[_Machine]
     has_next: bool = False
 
 
-class _Hired(Struct, frozen=True):
+class _RentedMachines(Struct, frozen=True):
     hosts: list[Text]
 
 
-def catalog(body: bytes) -> tuple[MachineType, ...]:
-    """The cloud's machine types; raises `Malformed`."""
-    types = convert(decode_map(body), _Catalog).hulls
+def decode_catalog(body: bytes) -> tuple[MachineType, ...]:
+    """Returns the machine types of a catalog body; raises `Malformed`."""
+    machine_types = convert(decode_map(body), _Catalog).hulls
     return tuple(
         MachineType(
-            name=h.label,
-            cpus=h.vcpus,
-            memory=h.ram_gb,
-            gpus=h.gpus,
-            cache_gb=h.cache_gb,
-            fetch_gb_per_s=h.pull_gb_per_s,
-            price=h.hourly,
-            spot_price=h.market_price,
-            boot_s=h.startup_s,
-            zones=h.yards,
+            name=machine_type.label,
+            cpus=machine_type.vcpus,
+            memory=machine_type.ram_gb,
+            gpus=machine_type.gpus,
+            cache_gb=machine_type.cache_gb,
+            fetch_gb_per_s=machine_type.pull_gb_per_s,
+            price=machine_type.hourly,
+            spot_price=machine_type.market_price,
+            boot_s=machine_type.startup_s,
+            zones=machine_type.yards,
         )
-        for h in types
+        for machine_type in machine_types
     )
 
 
-def cloud_list(body: bytes) -> tuple[tuple[CloudMachine, ...], bool]:
-    """A page of the cloud's list, and whether more follow; raises `Malformed`."""
-    page = convert(decode_map(body), _CloudList)
+def decode_machine_page(body: bytes) -> tuple[tuple[CloudMachine, ...], bool]:
+    """Returns a page of the machine list and whether more pages follow; raises `Malformed`."""
+    page = convert(decode_map(body), _MachinePage)
     return tuple(
         CloudMachine(
-            id=MachineId(h.uid),
-            addr=h.addr,
-            type=h.hull,
-            zone=h.yard,
-            spot=h.lendable,
-            stage=h.stage,
-            age_s=h.age_s,
+            id=MachineId(machine.uid),
+            addr=machine.addr,
+            type=machine.hull,
+            zone=machine.yard,
+            spot=machine.lendable,
+            stage=machine.stage,
+            age_s=machine.age_s,
         )
-        for h in page.hosts
+        for machine in page.hosts
     ), page.has_next
 
 
-def list_path(since: str | None, most: int) -> str:
-    """The request for a page of the cloud's list."""
-    return f"/machines?most={most}" + (f"&since={since}" if since else "")
+def machine_list_target(since: str | None, limit: int) -> str:
+    """Returns the request target for a page of at most `limit` machines after the id `since`."""
+    return f"/machines?most={limit}" + (f"&since={since}" if since else "")
 
 
-def hire(name: str, type_: str, zone: str, spot: bool, number: int) -> dict[str, Any]:
-    """A request to rent machines."""
+def rent_request(name: str, type_: str, zone: str, spot: bool, number: int) -> dict[str, Any]:
+    """Returns the body of a request to rent machines."""
     return {"hire": name, "hull": type_, "yard": zone, "lendable": spot, "number": number}
 
 
-def hired(body: bytes) -> tuple[MachineId, ...]:
-    """The machines that were rented; raises `Malformed`."""
-    return tuple(MachineId(h) for h in convert(decode_map(body), _Hired).hosts)
+def decode_rented(body: bytes) -> tuple[MachineId, ...]:
+    """Returns the ids of the machines that were rented; raises `Malformed`."""
+    return tuple(MachineId(id_) for id_ in convert(decode_map(body), _RentedMachines).hosts)
 
 
-def release(machines: Iterable[MachineId]) -> dict[str, Any]:
-    """A request to return machines."""
+def release_request(machines: Iterable[MachineId]) -> dict[str, Any]:
+    """Returns the body of a request to return machines."""
     return {"hosts": list(machines)}
--- a/runcourse/wire/codec.py
+++ b/runcourse/wire/codec.py
@@ -1,4 +1,4 @@
-"""MessagePack bodies: encoding, decoding, and checks that all messages share."""
+"""Encoding and decoding of MessagePack bodies, and checks common to all messages."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 import msgspec
 from msgspec import Meta
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_TEXT_LENGTH = 200  # characters
+MAX_AMOUNT = 1e9
 CONTENT_TYPE = "application/msgpack"
 
 
 class Malformed(Exception):
-    """A body that is not what the protocol says it is."""
+    """Raised for a body that violates the protocol."""
 
 
-Text = Annotated[str, Meta(min_length=1, max_length=200)]
-Amount = Annotated[float, Meta(ge=0, le=1e9)]
+Text = Annotated[str, Meta(min_length=1, max_length=MAX_TEXT_LENGTH)]
+Amount = Annotated[float, Meta(ge=0, le=MAX_AMOUNT)]
 Natural = Annotated[int, Meta(ge=0)]
 
 _decoder = msgspec.msgpack.Decoder()
@@ -26,31 +28,31 @@
 
 
 def encode(body: Any) -> bytes:
-    """A body as MessagePack."""
+    """Returns the body as MessagePack."""
     return _encoder.encode(body)
 
 
 def decode_map(body: bytes) -> dict[str, Any]:
-    """The map that a body holds; raises `Malformed`."""
+    """Returns the map in a body without its null fields; raises `Malformed`."""
     try:
         value = _decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Malformed(f"not MessagePack: {problem}") from problem
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise Malformed(f"not MessagePack: {error}") from error
     if not isinstance(value, dict):
         raise Malformed("not a map")
-    # Null equals omitted, so that no description has to name null for each field.
-    return {k: v for k, v in value.items() if v is not None and isinstance(k, str)}
+    # A null field equals an omitted one; dropped here, so that no struct has to allow null.
+    return {name: v for name, v in value.items() if v is not None and isinstance(name, str)}
 
 
 def convert(value: Any, kind: type[T]) -> T:
-    """The decoded value as a struct; raises `Malformed`."""
+    """Returns the decoded value as a struct; raises `Malformed`."""
     try:
         return msgspec.convert(value, kind)
-    except msgspec.ValidationError as problem:
-        raise Malformed(str(problem)) from problem
+    except msgspec.ValidationError as error:
+        raise Malformed(str(error)) from error
 
 
 def check_finite(*amounts: float) -> None:
-    """Raise `Malformed` for amounts that are infinite or not numbers."""
-    if not all(math.isfinite(a) for a in amounts):
+    """Raises `Malformed` if an amount is infinite or NaN."""
+    if not all(math.isfinite(amount) for amount in amounts):
         raise Malformed("an amount is not finite")
--- a/runcourse/wire/messages.py
+++ b/runcourse/wire/messages.py
@@ -1,7 +1,7 @@
-"""PROTOCOL's messages of users and workers. The only place that knows their spellings.
+"""Messages of users and workers; their outer field names and values appear only in this module.
 
-Incoming bodies are MessagePack, checked by msgspec; what leaves here speaks the field's terms. A
-message that does not fit its description raises `Malformed`.
+Incoming bodies are MessagePack. msgspec checks them against the structs below, and the functions
+convert them to the types of the core. A message that does not match raises `Malformed`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ..core.types import Order, Report, TaskReport
 from .codec import Amount, Malformed, Natural, Text, check_finite, convert
 
-# --- users -------------------------------------------------------------------------------
+# --- users ---
 
 
 class _Submission(Struct, frozen=True):
@@ -45,55 +45,55 @@
 
 
 def submission_uid(body: dict[str, Any]) -> JobId | None:
-    """The id of a submission that may be faulty otherwise."""
+    """Returns the job id of a submission whose other fields may be malformed, or None."""
     uid = body.get("uid")
     return JobId(uid) if isinstance(uid, str) and UID.match(uid) else None
 
 
-def submission(body: dict[str, Any]) -> JobSpec:
-    """The submission that a body holds; raises `Malformed`."""
-    s = convert(body, _Submission)
-    if not UID.match(s.uid):
+def decode_submission(body: dict[str, Any]) -> JobSpec:
+    """Returns the job specification in a submission; raises `Malformed`."""
+    submission = convert(body, _Submission)
+    if not UID.match(submission.uid):
         raise Malformed("uid is not a job id")
     check_finite(
-        s.vcpus,
-        s.gpus,
-        s.ram_gb,
-        s.pull_gb,
-        s.guess_s,
-        s.mark_every_s,
-        s.mark_cost_s,
-        s.due_s or 0.0,
+        submission.vcpus,
+        submission.gpus,
+        submission.ram_gb,
+        submission.pull_gb,
+        submission.guess_s,
+        submission.mark_every_s,
+        submission.mark_cost_s,
+        submission.due_s or 0.0,
     )
     return JobSpec(
-        uid=s.uid,
-        lane=s.lane,
-        team=s.crew,
-        service=s.shape == "service",
-        gang=s.shape == "ensemble",
-        rank=RANKS[s.rank],
-        tasks=s.legs,
-        cpus=s.vcpus,
-        gpus=s.gpus,
-        memory=s.ram_gb,
-        image=s.kit,
-        image_gb=s.pull_gb,
-        types=s.hulls,
-        zone=s.yard,
-        together=s.together,
-        spread=s.spread,
-        spot=s.lendable,
-        estimate_s=s.guess_s,
-        checkpoint_s=s.mark_every_s,
-        save_s=s.mark_cost_s,
-        deadline_s=s.due_s,
+        uid=submission.uid,
+        lane=submission.lane,
+        team=submission.crew,
+        service=submission.shape == "service",
+        gang=submission.shape == "ensemble",
+        rank=RANKS[submission.rank],
+        tasks=submission.legs,
+        cpus=submission.vcpus,
+        gpus=submission.gpus,
+        memory=submission.ram_gb,
+        image=submission.kit,
+        image_gb=submission.pull_gb,
+        types=submission.hulls,
+        zone=submission.yard,
+        together=submission.together,
+        spread=submission.spread,
+        spot=submission.lendable,
+        estimate_s=submission.guess_s,
+        checkpoint_s=submission.mark_every_s,
+        save_s=submission.mark_cost_s,
+        deadline_s=submission.due_s,
     )
 
 
 def job_state(
     uid: str, stage: str, done: int | None = None, running: int | None = None
 ) -> dict[str, Any]:
-    """What a user is told of a job."""
+    """Returns the body of an answer about a job; counts are included if `done` is given."""
     state: dict[str, Any] = {"uid": uid, "stage": stage}
     if done is not None:
         state["done"] = done
@@ -102,14 +102,14 @@
 
 
 def job_body(spec: JobSpec) -> dict[str, Any]:
-    """A submission as a user sends it (the client commands and stand-ins use this)."""
-    ranks = {number: name for name, number in RANKS.items()}
+    """Returns a submission as a user sends it; client commands and test servers use it."""
+    rank_names = {number: name for name, number in RANKS.items()}
     return {
         "uid": spec.uid,
         "lane": spec.lane,
         "crew": spec.team,
         "shape": "service" if spec.service else "ensemble" if spec.gang else "batch",
-        "rank": ranks[spec.rank],
+        "rank": rank_names[spec.rank],
         "legs": spec.tasks,
         "vcpus": spec.cpus,
         "gpus": spec.gpus,
@@ -128,7 +128,7 @@
     }
 
 
-# --- workers -----------------------------------------------------------------------------
+# --- workers ---
 
 _STAGES = {
     "fetching": "fetching",
@@ -149,7 +149,7 @@
 }
 
 
-class _Leg(Struct, frozen=True):
+class _TaskEntry(Struct, frozen=True):
     leg: Text
     attempt: Annotated[int, Meta(ge=0)] = msgspec.field(name="try")
     stage: str | None = None
@@ -157,8 +157,11 @@
     stored: bool | None = None
 
 
-class _Beat(Struct, frozen=True):
-    """Null equals omitted. Decoded in one step, since most of all messages are reports."""
+class _Report(Struct, frozen=True):
+    """A worker's report. A null field equals an omitted one.
+
+    Decoded in one step, without an intermediate map, because most messages are reports.
+    """
 
     host: Text
     tenure: Natural
@@ -169,65 +172,66 @@
     yard: str | None = None
     lendable: bool | None = None
     warning_s: float | None = None
-    legs: msgspec.Raw = msgspec.Raw(b"")  # read apart: see `_legs`
+    legs: msgspec.Raw = msgspec.Raw(b"")  # decoded separately: see `_decode_tasks`
 
 
-_beat_decoder = msgspec.msgpack.Decoder(_Beat)
-_legs_decoder = msgspec.msgpack.Decoder(list[_Leg] | None)
-CACHED_BYTES = 4096  # of a list of tasks, beyond which it is read anew each time
+_report_decoder = msgspec.msgpack.Decoder(_Report)
+_task_list_decoder = msgspec.msgpack.Decoder(list[_TaskEntry] | None)
+MAX_CACHED_BYTES = 4096  # a longer list of tasks is decoded each time
+CACHED_TASK_LISTS = 1024
 
 
-def _legs(raw: bytes) -> tuple[TaskReport, ...]:
+def _decode_tasks(raw: bytes) -> tuple[TaskReport, ...]:
     try:
-        legs = _legs_decoder.decode(raw) if raw else None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Malformed(str(problem)) from problem
+        entries = _task_list_decoder.decode(raw) if raw else None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise Malformed(str(error)) from error
     tasks = []
-    for leg in legs or ():
+    for entry in entries or ():
         try:
-            task = parse_task(leg.leg)
-        except ValueError as problem:
-            raise Malformed(str(problem)) from problem
+            task = parse_task(entry.leg)
+        except ValueError as error:
+            raise Malformed(str(error)) from error
         tasks.append(
             TaskReport(
                 task=task,
-                attempt=Attempt(leg.attempt),
-                stage=_STAGES.get(leg.stage or "", "running"),
-                cause=_CAUSES.get(leg.cause or "", "error") if leg.stage == "ended" else "",
-                saved=bool(leg.stored),
+                attempt=Attempt(entry.attempt),
+                stage=_STAGES.get(entry.stage or "", "running"),
+                cause=_CAUSES.get(entry.cause or "", "error") if entry.stage == "ended" else "",
+                saved=bool(entry.stored),
             )
         )
     return tuple(tasks)
 
 
-# Most reports list the same tasks as the one before, to the byte: reading them took a good part of
-# what a report costs, and processor time is what is nearest to running out.
-_legs_again = lru_cache(maxsize=1024)(_legs)
+# The task list of most reports equals that of the previous report byte for byte. Decoding it is a
+# large part of the cost of a report, and processor time is the scarcest resource of a controller.
+_decode_tasks_cached = lru_cache(maxsize=CACHED_TASK_LISTS)(_decode_tasks)
 
 
-def report(body: bytes) -> Report:
-    """The report that a body holds; raises `Malformed`."""
+def decode_report(body: bytes) -> Report:
+    """Returns the report in a body; raises `Malformed`."""
     try:
-        b = _beat_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Malformed(str(problem)) from problem
-    raw = bytes(b.legs)
-    tasks = _legs(raw) if len(raw) > CACHED_BYTES else _legs_again(raw)
+        report = _report_decoder.decode(body)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise Malformed(str(error)) from error
+    raw = bytes(report.legs)
+    tasks = _decode_tasks(raw) if len(raw) > MAX_CACHED_BYTES else _decode_tasks_cached(raw)
     return Report(
-        machine=MachineId(b.host),
-        addr=b.addr or "",
-        type=b.hull or "",
-        zone=b.yard or "",
-        spot=bool(b.lendable),
-        session=Session(b.tenure),
-        seq=b.tick,
-        token=Token(b.baton or 0),
-        notice_s=b.warning_s,
+        machine=MachineId(report.host),
+        addr=report.addr or "",
+        type=report.hull or "",
+        zone=report.yard or "",
+        spot=bool(report.lendable),
+        session=Session(report.tenure),
+        seq=report.tick,
+        token=Token(report.baton or 0),
+        notice_s=report.warning_s,
         tasks=tasks,
     )
 
 
-def _order(order: Order) -> dict[str, Any]:
+def _order_body(order: Order) -> dict[str, Any]:
     body: dict[str, Any] = {
         "verb": {"start": "run", "stop": "kill", "forget": "clear"}[order.op],
         "leg": str(order.task),
@@ -239,15 +243,15 @@
 
 
 def report_answer(token: Token, orders: Sequence[Order]) -> dict[str, Any]:
-    """The answer to a report."""
-    return {"baton": token, "orders": [_order(o) for o in orders]}
+    """Returns the body of the answer to a report."""
+    return {"baton": token, "orders": [_order_body(order) for order in orders]}
 
 
 def redirect(member: str | None) -> dict[str, Any]:
-    """The answer that sends a worker to another controller."""
+    """Returns the body of the answer that redirects a worker to `member`, empty if unknown."""
     return {"steward": member} if member else {}
 
 
 def commands(token: Token, session: Session, orders: Sequence[Order]) -> dict[str, Any]:
-    """Orders straight to a worker."""
-    return {"baton": token, "tenure": session, "orders": [_order(o) for o in orders]}
+    """Returns the body of a request that sends orders directly to a worker."""
+    return {"baton": token, "tenure": session, "orders": [_order_body(order) for order in orders]}
--- a/runcourse/wire/peer_messages.py
+++ b/runcourse/wire/peer_messages.py
@@ -1,8 +1,8 @@
 """Messages between controllers: JSON lines, one typed struct for each kind.
 
-This module owns their spelling. The tag `t` names the kind; fields that a former version
-spells otherwise are renamed here. A new field must have a default, so that a line of a former
-version stays readable, and unknown fields are ignored.
+Their outer field names appear only in this module. The tag `t` names the kind. An attribute whose
+outer name in former versions differs keeps that name by `field(name=...)`. A new field must have a
+default, so that a line of a former version stays readable; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from ..core.worker_values import Order, Report
 
 UNKNOWN_KIND = "unknown kind"
-_KIND = re.compile(rb'"t":"([a-z?]{1,20})"')
+_KIND_PATTERN = re.compile(rb'"t":"([a-z?]{1,20})"')
 
 
 class MalformedPeerMessage(Exception):
-    """A line that is no message of any kind known here; `kind` groups such lines for the log."""
+    """Raised for a line that is not a valid message; `kind` groups such lines for the log."""
 
     def __init__(self, kind: str, reason: str) -> None:
         super().__init__(reason)
@@ -29,7 +29,7 @@
 
 
 class Introduction(Struct, frozen=True):
-    """The first line of a connection: who speaks on it."""
+    """The first line of a connection between controllers: names the sender."""
 
     member: Member
 
@@ -37,33 +37,33 @@
 class Heartbeat(Struct, frozen=True, tag_field="t", tag="hello", omit_defaults=True):
     """Sent to all peers every second."""
 
-    contact: bool  # with the state service
-    running: dict[JobId, int]  # running tasks of jobs of the sender's shares, a page of them
+    contact: bool  # whether the sender has contact with the state service
+    running: dict[JobId, int]  # running tasks by job of the sender's shares, one page
     silent: list[str]  # machines of the sender's shares whose reports are overdue
     applied: int | None = None  # revision up to which the sender has read the store
-    begins: bool = True  # the first page of a round over all jobs
+    begins: bool = True  # whether this is the first page of a round over all jobs
 
 
 class SyncRequest(Struct, frozen=True, tag_field="t", tag="sync"):
-    """Something was stored that the receiver should read soon."""
+    """Asks the receiver to read the store soon, because a change was committed."""
 
 
 class CancellationNotice(Struct, frozen=True, tag_field="t", tag="cancelled", omit_defaults=True):
-    """A cancellation is stored; `ask` requests a `CancellationAck`."""
+    """States that a cancellation is stored; `ask` requests a `CancellationAck`."""
 
     uid: JobId
     ask: bool = False
 
 
 class CancellationAck(Struct, frozen=True, tag_field="t", tag="knows"):
-    """The sender knows of a cancellation, `owner`: as the owner of the job's share."""
+    """Confirms that the sender knows of a cancellation; `owner`: it owns the job's share."""
 
     uid: JobId
     owner: bool
 
 
 class GrantRequest(Struct, frozen=True, tag_field="t", tag="vouch?"):
-    """The sender has no contact with the state service and asks for a quorum grant."""
+    """Asks for a quorum grant, as the sender has no contact with the state service."""
 
     incarnation: Incarnation = field(name="inc")
     number: int = field(name="n")
@@ -71,7 +71,7 @@
 
 
 class GrantResponse(Struct, frozen=True, tag_field="t", tag="vouch"):
-    """Answer to a `GrantRequest`, with the cancellations that its sender may have missed."""
+    """Answers a `GrantRequest`, with the cancellations that its sender may have missed."""
 
     incarnation: Incarnation = field(name="inc")
     number: int = field(name="n")
@@ -81,23 +81,23 @@
 
 
 class DemandEntry(Struct, frozen=True):
-    """Waiting tasks of one shape in one share, or those of one gang."""
+    """The waiting tasks with the same requirements in one share, or those of one gang."""
 
-    size: tuple[float, float, float]  # CPUs, memory and GPUs of a task
+    size: tuple[float, float, float]  # CPUs, memory in GB and GPUs of a task
     rank: int
     spot: bool
     types: list[str] | None
     zone: str | None
-    closed_zones: list[str] = field(name="shut")  # by the job's `spread` or `together`
-    waiting: int = field(name="n")  # tasks that found no machine
-    hire: int  # for how many of them to have machines
-    age: float  # seconds since the oldest of them was submitted
-    block: bool = False  # a gang bound to one zone: all of it or nothing
-    room: dict[str, int] = field(default_factory=dict)  # tasks that fit already, by zone
+    closed_zones: list[str] = field(name="shut")  # excluded by the job's `spread` or `together`
+    waiting: int = field(name="n")  # number of tasks without a machine
+    hire: int  # number of those tasks to rent machines for
+    age: float  # seconds since the oldest of these tasks was submitted
+    block: bool = False  # a gang in one zone, which is placed whole or not at all
+    room: dict[str, int] = field(default_factory=dict)  # number of tasks that already fit, by zone
 
 
 class MachineLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner knows of one machine; -1 stands for never."""
+    """An owner's data about one machine; -1 stands for never."""
 
     heard_ago_s: float
     idle_s: float
@@ -105,17 +105,17 @@
 
 
 class ShareLoad(Struct, frozen=True, tag_field="t", tag="load", omit_defaults=True):
-    """What the owner of a share tells the leader of it."""
+    """The report of a share's owner to the leader."""
 
     share: ShareNo
-    used: float  # CPUs
+    used: float  # CPUs in use
     machines: dict[str, MachineLoad]
     needs: list[DemandEntry]
-    replicas: float = 0.0  # CPUs of those used, by services; told where organisations are stated
+    replicas: float = 0.0  # CPUs of `used` that services use; set if there are organisations
 
 
 class UnknownMachine(Struct, frozen=True, tag_field="t", tag="unknown"):
-    """A worker reported whose machine is not recorded."""
+    """States that a worker whose machine is not recorded has reported."""
 
     id: MachineId
     addr: str
@@ -138,14 +138,14 @@
 
 
 class DrainMachines(Struct, frozen=True, tag_field="t", tag="drain"):
-    """The leader asks an owner to empty machines whose replicas fit elsewhere."""
+    """The leader asks an owner to drain machines whose replicas fit on other machines."""
 
     share: ShareNo
     number: int = field(name="n")
 
 
 class TransferredState(Struct, frozen=True, tag_field="t", tag="given"):
-    """The former owner of a transferred machine passes on what it knows of its worker."""
+    """Passes on the former owner's state of the worker of a transferred machine."""
 
     machine: MachineId
     addr: str
@@ -156,28 +156,28 @@
 
 
 class VacateMachine(Struct, frozen=True, tag_field="t", tag="vacate", omit_defaults=True):
-    """The leader asks an owner to stop lesser work on a machine that another share needs."""
+    """The leader asks an owner to preempt work of lower rank on a machine that `to` needs."""
 
     share: ShareNo
     to: ShareNo
     need: DemandEntry
-    # For another organisation: stop no service, whatever its rank, and leave the empty machine
-    # to the leader, who asks for it if it is still owed then.
+    # The machine is for another organisation: the owner stops no service, whatever its rank, and
+    # does not transfer the empty machine; the leader requests it if it is still owed then.
     entitled: bool = False
 
 
 class YieldMachines(Struct, frozen=True, tag_field="t", tag="yield", omit_defaults=True):
-    """The leader asks an owner to transfer machines as they fall empty."""
+    """The leader asks an owner to transfer machines when they become empty."""
 
     share: ShareNo
     to: ShareNo
     cpus: float
     need: DemandEntry
-    entitled: bool = False  # for another organisation: the leader asks for what fell empty
+    entitled: bool = False  # for another organisation: the leader requests the empty machines
 
 
 class RelayedReport(Struct, frozen=True, tag_field="t", tag="beat"):
-    """A worker's report, passed on to the owner of its machine."""
+    """A worker's report, relayed to the owner of its machine."""
 
     number: int = field(name="n")
     report: Report
@@ -216,14 +216,14 @@
 
 
 class OperatorQuestion(Struct, frozen=True, omit_defaults=True):
-    """A question of an operator's tool: one line each way on the internal address."""
+    """A question of an operator's tool on the internal address; the answer is one line too."""
 
     ask: str
-    division: dict[str, Any] = field(default_factory=dict)  # a request concerning the division
+    division: dict[str, Any] = field(default_factory=dict)  # the request, if `ask` is "division"
 
 
 class _FirstLine(Struct, frozen=True):
-    """Either an introduction or a question, as a connection begins."""
+    """The first line of a connection: either an introduction or a question."""
 
     member: Member | UnsetType = UNSET
     ask: str | UnsetType = UNSET
@@ -236,24 +236,24 @@
 
 
 def encode(message: PeerMessage | Introduction) -> bytes:
-    """The message as a line."""
+    """Returns the message as a line."""
     return _encoder.encode(message) + b"\n"
 
 
 def decode(line: bytes) -> PeerMessage:
-    """The message of a line; raises `MalformedPeerMessage`."""
+    """Returns the message in a line; raises `MalformedPeerMessage`."""
     try:
         return _decoder.decode(line)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise MalformedPeerMessage(_kind_of(line), str(problem)) from problem
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise MalformedPeerMessage(_kind_of(line), str(error)) from error
 
 
 def decode_first(line: bytes) -> Introduction | OperatorQuestion:
-    """The first line of a connection; raises `MalformedPeerMessage`."""
+    """Returns the message in the first line of a connection; raises `MalformedPeerMessage`."""
     try:
         first = _first_decoder.decode(line)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise MalformedPeerMessage("first line", str(problem)) from problem
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise MalformedPeerMessage("first line", str(error)) from error
     if first.ask is not UNSET:
         return OperatorQuestion(first.ask, first.division)
     if first.member is not UNSET:
@@ -262,13 +262,16 @@
 
 
 def _kind_of(line: bytes) -> str:
-    """The kind a faulty line names, if it is one of ours: the log has one entry for each."""
-    found = _KIND.search(line)
-    kind = found.group(1).decode() if found else ""
-    return kind if kind in _KINDS else UNKNOWN_KIND
+    """Returns the kind that a malformed line names if it is a known one, else `UNKNOWN_KIND`.
 
+    The log has one entry for each kind, so the number of kinds must be limited.
+    """
+    match = _KIND_PATTERN.search(line)
+    kind = match.group(1).decode() if match else ""
+    return kind if kind in _KNOWN_KINDS else UNKNOWN_KIND
 
-_KINDS = frozenset(
+
+_KNOWN_KINDS = frozenset(
     str(kind.__struct_config__.tag)
     for kind in (
         Heartbeat,
--- a/runcourse/wire/state_messages.py
+++ b/runcourse/wire/state_messages.py
@@ -1,4 +1,4 @@
-"""PROTOCOL's messages of the state service, and nothing else knows their spellings."""
+"""Messages of the state service; their outer field names appear only in this module."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Pair(Struct, frozen=True):
-    """A key with its value and version."""
+    """A key with its value and its stamp, the version of the key."""
 
     key: str
     value: Any
@@ -20,72 +20,75 @@
 
 
 class Page(Struct, frozen=True):
-    """A page of keys."""
+    """A page of keys with the revision at which it was read (`epoch`)."""
 
     pairs: list[Pair]
     epoch: Natural
     has_next: bool = False
 
 
-class _Event(Struct, frozen=True):
+class _ChangeEntry(Struct, frozen=True):
     stamp: Natural
     write: str | None = None
     drop: str | None = None
     value: Any = None
 
 
-class _Events(Struct, frozen=True):
+class _ChangeList(Struct, frozen=True):
     epoch: Natural
-    events: list[_Event]
+    events: list[_ChangeEntry]
 
 
-class _Epoch(Struct, frozen=True):
+class _CommitResult(Struct, frozen=True):
     epoch: Natural
     failed: list[str] | None = None
 
 
-class _Grant(Struct, frozen=True):
+class _Lease(Struct, frozen=True):
     grant: Natural
 
 
-Change = tuple[str, Any, int]  # key, value or None for a dropped key, stamp
+Change = tuple[str, Any, int]  # (key, value or None for a deleted key, stamp)
 
 
-def page(body: bytes) -> Page:
-    """A page of keys; raises `Malformed`."""
+def decode_page(body: bytes) -> Page:
+    """Returns a page of keys; raises `Malformed`."""
     return convert(decode_map(body), Page)
 
 
-def events(body: bytes) -> tuple[list[Change], int]:
-    """The changes that a body holds, and their last revision; raises `Malformed`."""
-    e = convert(decode_map(body), _Events)
+def decode_events(body: bytes) -> tuple[list[Change], int]:
+    """Returns the changes in a body and the revision that they lead to; raises `Malformed`."""
+    answer = convert(decode_map(body), _ChangeList)
     changes: list[Change] = []
-    for event in e.events:
+    for event in answer.events:
         if event.write is not None:
             changes.append((event.write, event.value, event.stamp))
         elif event.drop is not None:
             changes.append((event.drop, None, event.stamp))
-    return changes, e.epoch
+    return changes, answer.epoch
 
 
-def committed(body: bytes) -> int:
-    """The revision of a transaction; raises `Malformed`."""
-    return convert(decode_map(body), _Epoch).epoch
+def decode_commit(body: bytes) -> int:
+    """Returns the revision of a committed transaction; raises `Malformed`."""
+    return convert(decode_map(body), _CommitResult).epoch
 
 
-def granted(body: bytes) -> int:
-    """The id of a new lease; raises `Malformed`."""
-    return convert(decode_map(body), _Grant).grant
+def decode_lease(body: bytes) -> int:
+    """Returns the id of a new lease; raises `Malformed`."""
+    return convert(decode_map(body), _Lease).grant
 
 
 def transaction(when: Iterable[Condition], then: Iterable[Write]) -> dict[str, Any]:
-    """`then`: (key, value, grant); a value of None drops the key."""
+    """Returns the body of a transaction: the writes `then` are made if all conditions `when` hold.
+
+    A write is (key, value, lease or None); a value of None deletes the key.
+    """
     ops: list[dict[str, Any]] = []
-    for key, value, grant in then:
+    for key, value, lease in then:
         if value is None:
             ops.append({"drop": key})
-        elif grant is None:
+        elif lease is None:
             ops.append({"write": key, "value": value})
         else:
-            ops.append({"write": key, "value": value, "grant": grant})
-    return {"when": [{"key": k, "stamp": s} for k, s in when], "then": ops}
+            ops.append({"write": key, "value": value, "grant": lease})
+    return {"when": [{"key": checked, "stamp": stamp} for checked, stamp in when], "then": ops}
