--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -55,7 +55,7 @@
 def send(world: World, member: str, event: Any) -> None:
     """A user's request that nobody waits for; its answer is held against those before."""
     uid = event.uid
-    known = world.told.get(uid) or "unknown"
+    known = world.last_stages.get(uid) or "unknown"
 
     def answered(answer: Any) -> None:
         if answer is None:
@@ -108,11 +108,13 @@
             world.start(member)
     world.deliver_held()
     world.run(15.0)
-    open_jobs = [uid for uid, told in world.told.items() if told not in ("cancelled", "unknown")]
+    open_jobs = [
+        uid for uid, told in world.last_stages.items() if told not in ("cancelled", "unknown")
+    ]
 
     def served(uid: str) -> bool:
         job = world.specs[uid]
-        if world.told[uid] in ("done", "cancelled"):
+        if world.last_stages[uid] in ("done", "cancelled"):
             return True
         if job.service:
             return len({x for x, _ in world.on_machines() if x.job == uid}) == job.tasks
@@ -120,7 +122,7 @@
 
     world.until(lambda: all(served(uid) for uid in open_jobs), limit)
     for member in world.members:
-        for uid, told in list(world.told.items()):
+        for uid, told in list(world.last_stages.items()):
             stage = world.poll(uid, member)
             assert stage != "?" and (told not in ("done", "cancelled") or stage == told)
     world.run(CANCEL_S)
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -137,7 +137,7 @@
         self.world.submit(spec(self.uid, tasks=1 + self.pick % 4, team=self.team), self.member)
 
     def _told(self) -> str | None:
-        told = sorted(self.world.told)
+        told = sorted(self.world.last_stages)
         return told[self.pick % len(told)] if told else None
 
     def cancel(self) -> None:
@@ -159,7 +159,7 @@
     def cancel_handover(self) -> None:
         """While one node's work goes to others and comes back."""
         self._away(self.member, 1.0 + self.pick % 8)
-        for k, job in enumerate(sorted(self.world.told)[self.pick % 4 :: 4]):
+        for k, job in enumerate(sorted(self.world.last_stages)[self.pick % 4 :: 4]):
             member = self.members[(self.pick + k) % len(self.members)]
             self._send_later(0.4 * k, member, t.Cancel(0, job))
 
@@ -172,9 +172,9 @@
             self.world.after(0.25 * k, lambda k=k: self._close_look(k))  # type: ignore[misc]
 
     def _close_look(self, k: int) -> None:
-        for uid in sorted(self.world.told)[k % 3 :: 3]:
+        for uid in sorted(self.world.last_stages)[k % 3 :: 3]:
             for member in self.members:
-                if self.world.told[uid] == "unknown" or k % 2:
+                if self.world.last_stages[uid] == "unknown" or k % 2:
                     send(self.world, member, t.Poll(0, uid))
                 else:
                     send(self.world, member, t.Submit(0, uid, self.world.specs[uid]))
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -81,7 +81,7 @@
     world.cancel(UID, taker)
     assert world.state.down
     gone_in_time(world)
-    if world.told[UID] == "cancelled":
+    if world.last_stages[UID] == "cancelled":
         assert not world.on_machines()
 
 
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -69,7 +69,7 @@
         for member in members:
             send(world, member, t.Poll(0, uid))
     world.run(3.0)
-    assert {"done", "cancelled"} <= set(world.told.values())
+    assert {"done", "cancelled"} <= set(world.last_stages.values())
     calm(world)
 
 
@@ -91,7 +91,7 @@
             )
         world.run(0.25)
     world.run(10.0)
-    assert len(world.told) == 480 and "cancelled" in world.told.values()
+    assert len(world.last_stages) == 480 and "cancelled" in world.last_stages.values()
     calm(world)
 
 
@@ -112,7 +112,7 @@
             send(
                 world,
                 members[k % len(members)],
-                t.Poll(0, uid) if uid in world.told else t.Submit(0, uid, world.specs[uid]),
+                t.Poll(0, uid) if uid in world.last_stages else t.Submit(0, uid, world.specs[uid]),
             )  # type: ignore[index]
             world.run(0.1)
         if n % 3 == 0:
@@ -141,7 +141,7 @@
             send(world, old, t.Poll(0, f"j-00001{n}"))
             send(world, old, t.Cancel(0, f"j-00000{n}"))
     world.run(CANCEL_S)
-    assert all(world.told[f"j-00001{n}"] == "cancelled" for n in range(TEAMS))
+    assert all(world.last_stages[f"j-00001{n}"] == "cancelled" for n in range(TEAMS))
     calm(world)
 
 
@@ -206,7 +206,7 @@
     note = world.note
 
     def noting(uid: str, stage: str, known: str | None = None) -> None:
-        before = world.told.get(uid)
+        before = world.last_stages.get(uid)
         note(uid, stage, known)
         if before != stage:
             look(uid)
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -29,7 +29,7 @@
     assert not world.broken
     return {
         "starts": world.starts,
-        "told": world.told,
+        "told": world.last_stages,
         "machines": sorted(world.workers),
         "stored": {k: v for k, v in world.state.data.items() if not k.startswith(LIVE)},
         "draws": [
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -107,7 +107,7 @@
     world.capacity = 16
     world.run(LEASE_S + 4.0)
     calm(world)
-    assert world.told[UID] == "done"
+    assert world.last_stages[UID] == "done"
     if how in ("die", "blink", "sick"):
         assert runs(world) >= 2
         assert world.gang_runs[-1][2] > world.gang_runs[0][2], "a new attempt, a higher number"
@@ -246,7 +246,7 @@
         send(world, members[k % len(members)], t.Cancel(0, UID))
         world.run(0.5)
     world.run(CANCEL_S)
-    assert world.told[UID] == "cancelled" and not machines_of(world)
+    assert world.last_stages[UID] == "cancelled" and not machines_of(world)
     calm(world)
 
 
@@ -259,7 +259,7 @@
     end_of(world, owner_of_job(world, UID), back_s)
     world.run(25.0)
     calm(world)
-    assert world.told[UID] == "done"
+    assert world.last_stages[UID] == "done"
     if phase == "running":
         assert runs(world) == 1, "not stopped needlessly"
     if phase in ("fetching", "waiting", "running"):
@@ -284,7 +284,7 @@
         for m in members:
             again(world, m, report)
     calm(world)
-    assert runs(world) == 2 and world.told[UID] == "done"
+    assert runs(world) == 2 and world.last_stages[UID] == "done"
 
 
 def test_one_done_says_of_all_and_is_stored_once() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -77,10 +77,10 @@
     assert not world.broken
     assert not checker.twice
     # Services may hold all that a team may use: without them every array gets done.
-    for uid in [u for u, told in world.told.items() if told not in ("cancelled", "unknown")]:
+    for uid in [u for u, told in world.last_stages.items() if told not in ("cancelled", "unknown")]:
         if world.specs[uid].service or uid in world.failing_jobs:
             world.until(lambda uid=uid: world.cancel(uid, "n2") == "cancelled", 10)  # type: ignore[misc]
-    for uid, told in list(world.told.items()):
+    for uid, told in list(world.last_stages.items()):
         stage = world.poll(uid, "n1")
         assert stage != "?"
         endless = world.specs[uid].service or uid in world.failing_jobs
--- a/tests/world.py
+++ b/tests/world.py
@@ -116,7 +116,7 @@
         self.late_writes = 0.0  # share of changes without an answer, carried out 2 to 12 s later
         self.failing_jobs: set[str] = set()  # jobs whose tasks fail wherever they start
         self.capacity = machines
-        self.told: dict[str, str] = {}  # the last word a user got on a job
+        self.last_stages: dict[str, str] = {}  # the last word a user got on a job
         self.cancelled_at: dict[str, float] = {}
         self.starts: list[tuple[float, Any, str]] = []
         self._requests = itertools.count(1)
--- a/tests/world_users.py
+++ b/tests/world_users.py
@@ -71,7 +71,7 @@
     def note(self, uid: str, stage: str, known: str | None = None) -> None:
         """A user was told so. `known`: what the user had been told when the request was sent;
         answers that cross on their way prove nothing against each other."""
-        before = known or self.told.get(uid)
+        before = known or self.last_stages.get(uid)
         if stage == "cancelled":
             self.cancelled_at.setdefault(uid, self.now)
         if before in ("done", "cancelled") and stage != before:
@@ -88,7 +88,7 @@
             if missing:
                 self.broken.append(f"not_done: {uid} lacks {missing}")
         # Of answers that crossed the final one, or any after a 404, is what the user keeps.
-        if self.told.get(uid) not in ("done", "cancelled") and (
+        if self.last_stages.get(uid) not in ("done", "cancelled") and (
             stage != "unknown" or before is None
         ):
-            self.told[uid] = stage
+            self.last_stages[uid] = stage
