--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -126,4 +126,4 @@
             stage = world.poll(uid, member)
             assert stage != "?" and (told not in ("done", "cancelled") or stage == told)
     world.run(CANCEL_S)
-    assert not world.broken
+    assert not world.violations
--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -61,5 +61,5 @@
     assert not [1 for at, _, id in world.starts if id == worker.id and at > since + 2.0]
     world.run(20.0)
     assert worker.id not in world.workers, "returned, after a patience as for a silent one"
-    assert not world.broken
+    assert not world.violations
     return took
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -66,7 +66,7 @@
 
 def gone_in_time(world: World) -> None:
     world.run(CANCEL_S + 5.0)
-    assert not world.broken
+    assert not world.violations
 
 
 @BOTH
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -166,7 +166,7 @@
         world.run(1.3)
         for n in range(TEAMS):
             send(world, members[n % len(members)], t.Poll(0, f"j-00001{n}"))
-    assert not world.broken
+    assert not world.violations
     calm(world)
 
 
@@ -269,5 +269,5 @@
     cancel_some(2.5)
     world.state.outage(True)
     world.run(CANCEL_S + 3.0)
-    assert not world.broken
+    assert not world.violations
     calm(world)
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -64,7 +64,7 @@
     world.until(lambda: any(s["owner"] == away for s in status_of(node)["shares"]), 30)
     world.run(20.0)
     assert len(world.starts) == starts + 8, "nothing that ran was started anew"
-    assert set(owners(world).values()) == {1} and not world.broken
+    assert set(owners(world).values()) == {1} and not world.violations
 
 
 @pytest.mark.parametrize("second", ["crash", "freeze", "cut"])
@@ -90,7 +90,7 @@
     for n in range(4):
         assert world.poll(f"j-00020{n}", user) == "done"
         assert world.poll(f"j-00000{n}", user) == "running"
-    assert set(owners(world).values()) == {1} and not world.broken
+    assert set(owners(world).values()) == {1} and not world.violations
 
 
 @BOTH
@@ -110,7 +110,7 @@
     for n in range(4):
         world.submit(spec(f"j-00030{n}", tasks=1, team=f"team-{n}"), members[-1])
     world.until(lambda: all(world.poll(f"j-00030{n}") == "done" for n in range(4)), 30)
-    assert len(world.on_machines()) == 8 and not world.broken
+    assert len(world.on_machines()) == 8 and not world.violations
 
 
 @BOTH
@@ -127,7 +127,7 @@
     assert set(owners(world).values()) == {1} and len(owners(world)) == len(members)
     for n in range(4):
         assert world.poll(f"j-00000{n}") == "running"
-    assert not world.broken
+    assert not world.violations
 
 
 def leader_or_none(world: World) -> str | None:
@@ -165,7 +165,7 @@
     world.state.refusing.clear()
     world.run(20.0)
     assert len([s for s in world.starts[starts:] if s[1].job != "j-000400"]) == 0, "no lease lost"
-    assert set(owners(world).values()) == {1} and not world.broken
+    assert set(owners(world).values()) == {1} and not world.violations
 
 
 @BOTH
@@ -187,7 +187,7 @@
     for m in members:
         assert all(world.poll(f"j-00000{n}", m) in ("queued", "running") for n in range(4))
     world.run(30.0)
-    assert all(world.poll(f"j-00000{n}") == "running" for n in range(4)) and not world.broken
+    assert all(world.poll(f"j-00000{n}") == "running" for n in range(4)) and not world.violations
 
 
 def test_many_polls_share_their_reads() -> None:
@@ -215,7 +215,7 @@
         world.submit(spec(f"j-00060{n}", tasks=1, team=f"team-{n % 4}", estimate_s=1.0))
     world.until(lambda: all(world.poll(f"j-00060{n}") == "done" for n in range(10)), 40)
     after = sum(1 for key, _, _ in world.state.log if key.startswith(("rc/job/", "rc/done/")))
-    assert after - before == 20 and not world.broken
+    assert after - before == 20 and not world.violations
 
 
 def test_a_guest_below_everything_begins_on_a_full_fleet() -> None:
@@ -241,4 +241,4 @@
             world.specs[job.uid] = job
             world.ask("user", "n0", t.Submit(0, job.uid, job), lambda answer: None)
         world.run(1.0)
-    assert any(s[1].job == "j-000700" for s in world.starts) and not world.broken
+    assert any(s[1].job == "j-000700" for s in world.starts) and not world.violations
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,7 +26,7 @@
         ("n0", "n1", "n2"), "done"
     )
     assert len(world.starts) == 3
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_cancelled_service_is_gone_and_stays_cancelled() -> None:
@@ -38,7 +38,7 @@
     assert world.poll("j-000002", "n2") == "cancelled"
     assert world.submit(spec("j-000002", service=True), "n2") == 200
     world.run(5)
-    assert not world.on_machines() and not world.broken
+    assert not world.on_machines() and not world.violations
 
 
 def test_unknown_jobs_are_told_so() -> None:
@@ -53,7 +53,7 @@
     world.run(4.0)
     world.submit(spec("j-000003", tasks=8))
     world.until(lambda: world.poll("j-000003") == "done", 60)
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_service_that_lost_its_machine_runs_elsewhere() -> None:
@@ -63,7 +63,7 @@
     _, worker = world.on_machines()[0]
     worker.alive = False
     world.until(lambda: len(world.on_machines()) == 1, LEASE_S + 5)
-    assert not world.broken
+    assert not world.violations
 
 
 @pytest.mark.parametrize("dead", [("n0",), ("n1", "n2"), ("n0", "n1", "n2")])
@@ -80,7 +80,7 @@
     world.run(15.0)
     assert len(world.on_machines()) == 4
     assert len(world.starts) == 4, "nothing was lost, so nothing may have started again"
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_dead_nodes_share_is_taken_over() -> None:
@@ -94,7 +94,7 @@
     assert node is not None
     owners = {node.shares.living_owner(s) for s in node.shares.all()}
     assert owners == {"n1", "n2"}
-    assert len(world.on_machines()) == 4 and not world.broken
+    assert len(world.on_machines()) == 4 and not world.violations
 
 
 def test_two_silent_nodes_block_a_takeover() -> None:
@@ -119,7 +119,7 @@
     world.state.outage(False)
     world.run(3.0)
     assert world.submit(spec("j-000039")) == 201
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_node_refused_alone_stops_and_is_replaced() -> None:
@@ -135,7 +135,7 @@
     assert other is not None and all(other.shares.living_owner(s) for s in other.shares.all())
     world.state.refusing.clear()
     world.run(15.0)
-    assert len(world.on_machines()) == 4 and not world.broken
+    assert len(world.on_machines()) == 4 and not world.violations
 
 
 def test_an_order_of_unknown_fate_does_not_start_a_task_twice() -> None:
@@ -154,7 +154,7 @@
     world.run(3.0)
     world.deliver_held()
     world.run(1.0)
-    assert not world.on_machines() and not world.broken
+    assert not world.on_machines() and not world.violations
 
 
 def test_a_hung_machine_that_resumes_within_its_lease_keeps_its_task() -> None:
@@ -167,7 +167,7 @@
     worker.hung = False
     world.deliver_held()
     world.run(5.0)
-    assert len(world.starts) == 1 and not world.broken
+    assert len(world.starts) == 1 and not world.violations
 
 
 def test_a_machine_that_fails_every_task_harms_few() -> None:
@@ -179,7 +179,7 @@
         world.submit(spec(f"j-00007{n}", tasks=3, team=f"team-{n}"))
     world.until(lambda: all(world.poll(f"j-00007{n}") == "done" for n in range(4)), 60)
     assert sum(1 for _, _, id in world.starts if id == sick.id) <= 8
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_gang_starts_as_a_whole_with_one_attempt() -> None:
@@ -202,7 +202,7 @@
     assert not any(task.job == "j-000091" for task in before)
     world.submit(spec("j-000092", tasks=1, service=True, rank=0))
     world.until(lambda: any(task.job == "j-000092" for task, _ in world.on_machines()), 10)
-    assert not world.broken
+    assert not world.violations
 
 
 def test_cancellation_while_the_owner_is_gone_is_refused_at_once() -> None:
@@ -222,7 +222,7 @@
     world.run(8.0)
     assert world.cancel("j-000100", asker) == "cancelled"
     world.run(5.0)
-    assert not world.on_machines() and not world.broken
+    assert not world.on_machines() and not world.violations
 
 
 def _no_owner(world: World, asker: str, share: Any) -> bool:
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -26,7 +26,7 @@
         act(world, action, plot.randrange(40), number)
         world.run(plot.uniform(0.05, 4.0))
     world.run(20.0)
-    assert not world.broken
+    assert not world.violations
     return {
         "starts": world.starts,
         "told": world.last_stages,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -183,7 +183,7 @@
         world.cut.add(frozenset((worker.id, str(owner))))
     world.run(20.0)
     assert len(world.on_machines()) == 3 and len(world.starts) == starts
-    assert not world.broken
+    assert not world.violations
 
 
 def test_surplus_machines_are_emptied_and_returned() -> None:
@@ -196,7 +196,7 @@
         world.cancel(f"j-00004{n}")
     world.run(120.0)
     assert len(world.workers) <= 3
-    assert len(world.on_machines()) == 2 and not world.broken
+    assert len(world.on_machines()) == 2 and not world.violations
 
 
 def test_spread_gets_a_machine_in_another_zone() -> None:
@@ -206,7 +206,7 @@
     world.submit(spec("j-000050", service=True, spread=True, tasks=2))
     world.until(lambda: len(world.on_machines()) == 2, 25)
     assert len({worker.zone for _, worker in world.on_machines()}) == 2
-    assert not world.broken
+    assert not world.violations
 
 
 def test_an_attempt_is_not_cleared_while_an_order_of_unknown_fate_is_out() -> None:
@@ -263,7 +263,7 @@
     where = {task.job: worker for task, worker in world.on_machines()}
     assert where["j-000080"].notice_s is None, "moved to a machine that stays"
     assert len([1 for _, task, _ in world.starts if task.job == "j-000081"]) == 1
-    assert not world.broken
+    assert not world.violations
 
 
 def test_machines_found_together_are_parted_among_the_shares() -> None:
@@ -318,7 +318,7 @@
     )
     world.until(lambda: any(task.job == "j-000103" for task, _ in world.on_machines()), 10)
     start = next(s for s in world.starts[before:] if s[1].job == "j-000103")
-    assert start[2] == held and not world.broken
+    assert start[2] == held and not world.violations
 
 
 def test_lesser_work_of_another_share_makes_way_for_a_replica() -> None:
@@ -336,4 +336,4 @@
         lambda: len([1 for task, _ in world.on_machines() if task.job == "j-000112"]) == 4, 20
     )
     assert sum(r.share == share for r in node.fleet.records.values()) >= 2
-    assert not world.broken
+    assert not world.violations
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -47,7 +47,7 @@
     world.submit(spec("j-000002", tasks=1, estimate_s=1.0))
     world.until(lambda: world.poll("j-000002") == "done", 30)
     assert not [key for key in world.state.data if key.startswith("rc/done/j-000002")]
-    assert PAGE_BITS > 1 and not world.broken
+    assert PAGE_BITS > 1 and not world.violations
 
 
 @pytest.mark.parametrize("members", [MEMBERS, FIVE])
@@ -68,7 +68,7 @@
     world.run(0.4)
     world.state.outage(True)
     world.run(CANCEL_S + 5.0)
-    assert not world.broken
+    assert not world.violations
     assert not world.on_machines()
 
 
@@ -102,7 +102,7 @@
         assert world.cancel(f"j-00010{n}") == "cancelled"
     tries = len(world.starts)
     world.run(60.0)
-    assert len(world.starts) == tries and not world.broken
+    assert len(world.starts) == tries and not world.violations
 
 
 def test_a_faulty_machine_is_found_among_failing_jobs() -> None:
@@ -126,7 +126,7 @@
     assert aside == {"i-000002"}
     for n in range(4):
         assert world.poll(f"j-00021{n}") == "done"
-    assert not world.broken
+    assert not world.violations
 
 
 def failing(world: World, uid: str, machines: int) -> Any:
@@ -174,7 +174,7 @@
     assert node is not None and node.scheduler.work["j-000400"].fails_everywhere  # type: ignore[index]
     world.failing_jobs.clear()
     world.until(lambda: world.poll("j-000400") == "done", 40)
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_flood_of_short_tasks_is_not_hired_for_one_machine_each() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
     dealt = records(world)
     # By teams: four shares have one, the fifth has none and half as many machines.
     assert set(dealt) == set(range(5)) and min(dealt.values()) > 930 / 10
-    assert not world.broken
+    assert not world.violations
 
 
 def test_many_machines_and_nodes_in_trouble_at_once() -> None:
@@ -73,7 +73,7 @@
     world.run(5.0)
     world.deliver_held()
     world.run(3.0)
-    assert up() == 32 and not world.broken
+    assert up() == 32 and not world.violations
 
 
 def test_a_list_of_several_pages_counts_only_if_it_is_read_to_its_end() -> None:
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -150,7 +150,7 @@
                 worker.notice_s = None if worker.notice_s else 20.0
             world.run(rng.uniform(0.1, 3.0))
         world.run(15.0)
-    assert not world.broken
+    assert not world.violations
     assert done["turns"] > 25 and done["with room"] > 5 and done["checks"] > 200
 
 
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -43,7 +43,7 @@
     world.until(lambda: UID in world.running_gangs(), 40)
     assert world.gang_runs[-1][2] == attempt, "the others waited on"
     world.until(lambda: world.poll(UID) == "done", 30)
-    assert runs(world) == 1 and not world.broken
+    assert runs(world) == 1 and not world.violations
 
 
 def test_a_gang_that_is_not_complete_in_time_backs_off_and_says_why() -> None:
@@ -81,7 +81,7 @@
     world.run(GANG_WAIT_S + 1.0)
     assert "fetching" in stages(world) and work_of(world).attempt == attempt
     world.until(lambda: UID in world.running_gangs(), 60)
-    assert not world.broken
+    assert not world.violations
 
 
 @BOTH
@@ -158,7 +158,7 @@
     world.until(lambda: not machines_of(world), GANG_PEER_S + 2.0)
     assert 6.0 < world.progress[UID] < 8.0, "saved, not the checkpoint at 4"
     world.until(lambda: UID in world.running_gangs(), 20)
-    assert runs(world) == 2 and not world.broken
+    assert runs(world) == 2 and not world.violations
 
 
 def test_who_is_ready_first_in_an_orderly_stop_cuts_nobody_s_saving_short() -> None:
@@ -204,7 +204,7 @@
     assert len({id(w) for w in machines_of(world)}) <= 1, "it may go on elsewhere, as a whole"
     assert world.cancel("j-000021") == "cancelled"
     world.until(lambda: runs(world) == 2, 20)
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_gang_takes_the_room_of_lesser_work_for_all_or_stops_nobody() -> None:
@@ -216,7 +216,7 @@
     assert len(machines_of(world, "j-000021")) == 6, "it would not fit whoever stops"
     world.submit(gang("j-000022", tasks=4, rank=1, together=False))
     world.until(lambda: "j-000022" in world.running_gangs(), 10)
-    assert len(machines_of(world, "j-000021")) == 2 and not world.broken
+    assert len(machines_of(world, "j-000021")) == 2 and not world.violations
 
 
 def test_a_notice_of_one_machine_stops_the_whole_in_time_to_save() -> None:
@@ -229,7 +229,7 @@
     machines_of(world)[0].notice_s = GANG_PEER_S + 1.5
     world.until(lambda: world.progress.get(UID, 0.0) > 6.0, 6)
     world.until(lambda: UID in world.running_gangs(), 20)
-    assert not world.broken
+    assert not world.violations
 
 
 @BOTH
@@ -300,7 +300,7 @@
     world.state.serve = counting  # type: ignore[method-assign]
     world.until(lambda: world.poll(UID) == "done", 20)
     world.run(5.0)
-    assert changes[0] == 1 and not world.broken
+    assert changes[0] == 1 and not world.violations
     assert not node_of_team(world).fleet.placements.of_job(UID)  # type: ignore[arg-type]
 
 
@@ -315,4 +315,4 @@
     assert runs(world) - tries <= 3
     assert world.cancel(UID) == "cancelled"
     world.run(CANCEL_S + 2.0)
-    assert not machines_of(world) and not world.broken
+    assert not machines_of(world) and not world.violations
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -17,7 +17,7 @@
     assert len({w.zone for w in machines_of(world)}) == 1 and len(machines_of(world)) == 4
     assert len({attempt for _, _, attempt in world.gang_runs}) == 1
     world.until(lambda: world.poll(UID) == "done", 20)
-    assert runs(world) == 1 and not world.broken
+    assert runs(world) == 1 and not world.violations
 
 
 def test_without_room_for_all_none_starts_and_nobody_is_kept_from_the_room() -> None:
@@ -29,7 +29,7 @@
     world.submit(spec("j-000002", tasks=2, team="team-1"))
     world.until(lambda: world.poll("j-000002") == "done", 10)
     assert not [x for _, x, _ in world.starts if x.job == UID]
-    assert not world.broken
+    assert not world.violations
 
 
 def test_over_several_zones_if_the_job_allows_it() -> None:
@@ -37,7 +37,7 @@
     world.submit(gang(tasks=9, together=False, spread=True))
     world.until(lambda: UID in world.running_gangs(), 40)
     zones = [w.zone for w in machines_of(world)]
-    assert max(zones.count(z) for z in zones) <= 5 and not world.broken
+    assert max(zones.count(z) for z in zones) <= 5 and not world.violations
 
 
 def test_a_set_that_its_zones_do_not_take_is_not_begun() -> None:
@@ -60,7 +60,7 @@
     held = {m.record.zone for m in node.fleet.machines.values() if "other" in m.images}
     world.submit(gang(tasks=2, image="other"))
     world.until(lambda: UID in world.running_gangs(), 10)
-    assert {w.zone for w in machines_of(world)} == held and not world.broken
+    assert {w.zone for w in machines_of(world)} == held and not world.violations
 
 
 def test_a_whole_gang_keeps_to_its_team_s_limit() -> None:
@@ -72,7 +72,7 @@
     world.run(2.0)
     assert not machines_of(world) and work_of(world).wait_reason == "team limit"
     world.until(lambda: UID in world.running_gangs(), 15)
-    assert not world.broken
+    assert not world.violations
 
 
 def test_room_is_hired_for_a_gang_in_one_zone() -> None:
@@ -81,7 +81,7 @@
     world.submit(gang())
     world.until(lambda: UID in world.running_gangs(), 30)
     assert len(world.workers) <= 8, "not a machine for each zone"
-    assert not world.broken
+    assert not world.violations
 
 
 def test_what_comes_up_in_several_zones_is_of_no_use_to_a_gang_in_one() -> None:
@@ -124,7 +124,7 @@
     assert any(share in shares for shares in by_zone.values())
     world.submit(gang(tasks=4))
     world.until(lambda: UID in world.running_gangs(), 10)
-    assert len(world.workers) == 6 and not world.broken
+    assert len(world.workers) == 6 and not world.violations
 
 
 def test_gangs_and_single_tasks_do_not_starve_each_other() -> None:
@@ -141,4 +141,4 @@
         begun |= world.running_gangs()
     assert {UID, "j-000005"} <= begun
     world.until(lambda: all(world.poll(f"j-0001{n:02d}") == "done" for n in range(60)), 200)
-    assert not world.broken
+    assert not world.violations
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -108,7 +108,7 @@
     again(world, member, old)
     assert len(node.fleet.placements.of_job("j-000500")) == 1  # type: ignore[arg-type]
     world.run(10.0)
-    assert len(world.starts) == 1 and not world.broken
+    assert len(world.starts) == 1 and not world.violations
 
 
 def test_a_copy_of_a_command_after_its_attempt_was_cleared_starts_nothing() -> None:
@@ -159,7 +159,7 @@
     worker.blink()
     assert not world.on_machines()
     world.until(lambda: len(world.on_machines()) == 1, 6)
-    assert worker.id in world.workers and not world.broken
+    assert worker.id in world.workers and not world.violations
 
 
 @BOTH
@@ -184,7 +184,7 @@
     world.run(20.0)
     world.echo = 0.0
     world.run(20.0)
-    assert len(world.on_machines()) == 4 and not world.broken
+    assert len(world.on_machines()) == 4 and not world.violations
     assert all(n is not None and n.authority.entitled() for n in world.nodes.values())
 
 
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -43,7 +43,7 @@
     world.until(lambda: zones_near(world, "b") and bool(tasks_of(world)), 120)
     assert begun(world) == 1 and nothing_reserved(world)
     assert owner(world).scheduler.migrations.counts["completed"] == 1
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_task_that_loses_its_locality_again_and_again_is_not_moved_each_time() -> None:
@@ -59,7 +59,7 @@
         for n in range(20):
             world.run(40.0)
             world.reload(settings("ab"[(n + 1) % 2], **bounds))
-        assert not world.broken
+        assert not world.violations
         return begun(world)
 
     assert story(damping=True) <= 2
@@ -76,7 +76,7 @@
                 changes |= {"service": True, "rank": 0, "spread": True}
             world.submit(spec(f"j-{n:06d}", tasks=1 + n % 4, cpus=0.5 + n % 2, **changes))
             world.run(1.7)
-        assert not world.broken and len(world.starts) > 100
+        assert not world.violations and len(world.starts) > 100
         return world.starts
 
     assert story(settings(weight=0.0)) == story(None)
@@ -96,7 +96,7 @@
         world.run(200.0)
         machines = {p.machine.id for p in node.fleet.placements.of_job(JobId(UID))}
         assert len(machines) == 2 and begun(world) == 1, "level, and it stays so"
-    assert node.shares.may_command(share) and not world.broken
+    assert node.shares.may_command(share) and not world.violations
 
 
 # --- what is never moved -----------------------------------------------------------------
@@ -124,7 +124,7 @@
     world.run(MIN_RUNTIME_S + 30.0 if what == "nearly done" else 5.0)
     world.reload(far)
     world.run(60.0)
-    assert begun(world) == 0 and not world.broken
+    assert begun(world) == 0 and not world.violations
     assert what == "nearly done" or tasks_of(world) == before
 
 
@@ -135,7 +135,7 @@
     world.run(MIN_RUNTIME_S - 5.0)
     assert begun(world) == 0
     world.run(10.0)
-    assert begun(world) == 1 and not world.broken
+    assert begun(world) == 1 and not world.violations
 
 
 def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
@@ -156,7 +156,7 @@
         if zones_near(world, "b") and len(tasks_of(world)) == 2:
             break
     assert zones_near(world, "b") and least == 1, "never both at once"
-    assert begun(world) == 2 and not world.broken
+    assert begun(world) == 2 and not world.violations
 
 
 @pytest.mark.parametrize("trouble", ["outage", "unsettled", "former version", "waiting work"])
@@ -217,7 +217,7 @@
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(places("b", "a"))
     world.run(120.0)
-    assert begun(world) == 0 and nothing_reserved(world) and not world.broken
+    assert begun(world) == 0 and nothing_reserved(world) and not world.violations
     # Once the one is gone the other follows its data.
     world.until(lambda: world.cancel("j-000002") == "cancelled", 10)
     world.until(lambda: zones_near(world, "b") and bool(tasks_of(world)), 60)
@@ -231,7 +231,7 @@
     world.until(lambda: len(tasks_of(world)) == 1, 90)
     world.run(25.0)
     assert len(tasks_of(world)) == 1 and nothing_reserved(world)
-    assert not world.broken
+    assert not world.violations
 
 
 @BOTH
@@ -311,7 +311,7 @@
     world.run(after)
     world.until(lambda: world.cancel(UID) == "cancelled", 10)
     world.run(CANCEL_S + 1.0)  # the world reports any task still there by then
-    assert not tasks_of(world) and nothing_reserved(world) and not world.broken
+    assert not tasks_of(world) and nothing_reserved(world) and not world.violations
 
 
 def test_late_copies_of_the_stop_and_of_reports_start_and_stop_nothing() -> None:
@@ -319,7 +319,7 @@
     world.echo = 1.0
     runs_again(world)
     world.run(30.0)
-    assert len(tasks_of(world)) == 1 and not world.broken
+    assert len(tasks_of(world)) == 1 and not world.violations
 
 
 def test_a_target_that_may_take_nothing_new_by_then_is_left_alone() -> None:
@@ -342,7 +342,7 @@
         entry[0], entry[1] = "ended", "done"
         world.finished.add(task)
     world.until(lambda: world.poll(UID) == "done", 20)
-    assert nothing_reserved(world) and not world.broken
+    assert nothing_reserved(world) and not world.violations
 
 
 def test_a_stop_that_takes_too_long_gives_the_room_back() -> None:
@@ -370,7 +370,7 @@
         world.reload(settings("ab"[n % 2]))
         world.run(6.0)
     assert made <= 1 and begun(world) == 0, "the counts began anew, and nothing was begun"
-    assert len(tasks_of(world)) == 1 and not world.broken
+    assert len(tasks_of(world)) == 1 and not world.violations
 
 
 # --- hot and quiet teams -----------------------------------------------------------------
@@ -397,7 +397,7 @@
             world.run(3.0)
             if n % 3 == 0:
                 quiet_zones += tasks_of(world, uid).values()
-        assert not world.broken and len(quiet_zones) >= 15, "it does not wait either way"
+        assert not world.violations and len(quiet_zones) >= 15, "it does not wait either way"
         near[fair] = quiet_zones.count("a") / len(quiet_zones)
     assert near[True] > near[False] + 0.1 and near[True] >= 0.5
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -334,7 +334,7 @@
     records = [k for k in world.state.data if k.startswith(MACHINE)]
     world.until(lambda: sum(k.startswith(MACHINE) for k in world.state.data) == 300, 20.0)
     world.run(3.0)
-    assert len(records) > 100 and not world.broken
+    assert len(records) > 100 and not world.violations
     node = leader(world)
     assert not node.rental.adoption._pending_records and not node.rental.adoption._queue
     held = [m.id for n in world.nodes.values() if n for m in n.fleet.machines.values()]
@@ -366,7 +366,7 @@
         world.run(60.0)
         assert len(world.workers) < 15, "what stays empty is returned"
         assert sorted(str(task) for task, _ in world.on_machines()) == up
-        assert not world.broken
+        assert not world.violations
 
 
 # --- the cloud and the workers -----------------------------------------------------------
@@ -487,7 +487,7 @@
     world.until(lambda: all(world.poll(f"j-00001{n}", "n1") == "done" for n in range(4)), 20.0)
     assert sum(w.session for w in world.workers.values()) == sessions, "no worker's lease ended"
     assert up() == 160 and starts == len([1 for _, x, _ in world.starts if x.job in replicas])
-    assert 0 < world.longest < 64 * 1024 and not world.broken
+    assert 0 < world.longest < 64 * 1024 and not world.violations
 
 
 def test_a_node_with_the_worlds_settings_has_sockets_for_its_probes() -> None:
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -40,7 +40,7 @@
     world.until(lambda: world.poll("j-000501", other) == "done", 4 * LEASE_S)
     world.until(lambda: world.cancel("j-000500", owner) == "cancelled", 10)
     world.until(lambda: not world.on_machines(), 4 * LEASE_S)
-    assert not world.broken
+    assert not world.violations
 
 
 @BOTH
@@ -144,7 +144,7 @@
     world.submit(spec("j-000503", tasks=2), other)
     world.until(lambda: world.poll("j-000503", other) == "done", 60)
     world.run(12.0)
-    assert not world.broken
+    assert not world.violations
     records = {
         k
         for k in world.state.data
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -60,12 +60,12 @@
         if moving and number % 2:
             act(world, "source_moves", number // 2, number)
         world.run(pause)
-        assert not world.broken
+        assert not world.violations
         assert not checker.twice
     world.run(12.0)
     if world.state.down or world.state.refusing:
         world.run(CANCEL_S)
-        assert not world.broken
+        assert not world.violations
     world.cut.clear()
     world.deaf.clear()
     world.mute.clear()
@@ -74,7 +74,7 @@
     world.run(30.0)
     world.deliver_held()
     world.run(5.0)
-    assert not world.broken
+    assert not world.violations
     assert not checker.twice
     # Services may hold all that a team may use: without them every array gets done.
     for uid in [u for u, told in world.last_stages.items() if told not in ("cancelled", "unknown")]:
@@ -89,4 +89,4 @@
                 lambda uid=uid: world.poll(uid) in ("done", "cancelled"),  # type: ignore[misc]
                 90,
             )
-    assert not world.broken
+    assert not world.violations
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -84,7 +84,7 @@
     for uid in ("j-000800", "j-000802"):
         assert world.poll(uid) == "running", "none of them was without work"
     assert machines(much) >= before + 2
-    assert all(machines(s) >= 1 for s in range(3)) and not world.broken
+    assert all(machines(s) >= 1 for s in range(3)) and not world.violations
 
 
 def test_overdue_work_begins_first_and_then_has_a_part_of_the_starts() -> None:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -44,7 +44,7 @@
                 members[(n + k) % len(members)],
             )
             world.run(2.0)
-        assert not world.broken
+        assert not world.violations
     assert not world.former
     world.until(lambda: noted(world), 10)
     again = {
@@ -138,7 +138,7 @@
     outage_at_cancellation(world)
     world.cancel("j-000011", taker)
     world.run(CANCEL_S + 5.0)
-    assert not world.broken
+    assert not world.violations
     calm(world)
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -98,7 +98,7 @@
         world.state.log.append((key, None, world.state.epoch))
     world.run(6.0)
     assert node.authority.live and node.authority.incarnation != before
-    assert len(world.on_machines()) == 1 and len(world.starts) == 1 and not world.broken
+    assert len(world.on_machines()) == 1 and len(world.starts) == 1 and not world.violations
 
 
 def test_lost_answers_of_applied_changes_lose_no_job() -> None:
@@ -113,7 +113,7 @@
     for uid, status in told.items():
         if status in (200, 201):
             world.until(lambda uid=uid: world.poll(uid) == "done", 30)  # type: ignore[misc]
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_late_answer_brings_back_nothing_that_was_dropped_since() -> None:
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -28,7 +28,7 @@
     unlucky = [f"j-{n:06d}" for n in range(0, 3000, 299)]
     for member in members:
         assert all(world.poll(uid, member) in ("done", "cancelled") for uid in unlucky)
-    assert not world.broken
+    assert not world.violations
 
 
 def test_refusals_for_want_of_contact_end_with_the_outage() -> None:
@@ -42,7 +42,7 @@
     world.run(3.0)
     for member in world.members:
         assert all(world.poll(f"j-00010{n}", member) != "?" for n in range(6))
-    assert world.cancel("j-000100") == "cancelled" and not world.broken
+    assert world.cancel("j-000100") == "cancelled" and not world.violations
 
 
 def test_large_jobs_begin_behind_a_steady_stream_of_small_and_urgent_ones() -> None:
@@ -68,7 +68,7 @@
         for _, task, _ in world.starts[-40:]:
             begun.setdefault(str(task.job), world.now)
     assert begun["j-000200"] < 240.0 and begun["j-000201"] < 240.0
-    assert not world.broken
+    assert not world.violations
 
 
 @BOTH
@@ -90,7 +90,9 @@
     world.cancel("j-000410")
     world.submit(spec("j-000411", service=True, tasks=2))
     world.run(CANCEL_S + 10.0)
-    assert not world.broken, "no limit broken by what may still run, none after the cancellation"
+    assert not world.violations, (
+        "no limit broken by what may still run, none after the cancellation"
+    )
 
 
 def test_a_machine_is_used_again_once_it_is_reached() -> None:
@@ -172,4 +174,4 @@
     world.cut.clear()
     world.run(20.0)
     assert world.nodes["n0"].shares.owned, "its share is given back"  # type: ignore[union-attr]
-    assert len(world.on_machines()) == 4 and not world.broken
+    assert len(world.on_machines()) == 4 and not world.violations
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
 """A small world for the core: a fake clock, a scripted state service, cloud and workers.
 
 Everything random comes from one seeded generator, so a run repeats. The workers and the
-state service follow PROTOCOL; the world notes every broken rule in `broken`.
+state service follow PROTOCOL; the world notes every broken rule in `violations`.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
         self.workers: dict[str, Worker] = {}
         self.specs: dict[Any, JobSpec] = {}
         self.finished: set[Any] = set()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.cut: set[frozenset[str]] = set()  # pairs that can't reach each other
         self.hold = False  # do cuts hold commands back, to deliver them late?
         self.held: list[Callable[[], None]] = []
@@ -399,4 +399,4 @@
         for task, worker in self.on_machines():
             told = self.cancelled_at.get(task.job)
             if told is not None and self.now > told + CANCEL_S:
-                self.broken.append(f"ran_cancelled: {task} on {worker.id}")
+                self.violations.append(f"ran_cancelled: {task} on {worker.id}")
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -168,7 +168,7 @@
 
     def right(self) -> bool:
         """No rule broken, no machine counted twice."""
-        assert not self.broken
+        assert not self.violations
         assert not self.checker.twice
         return True
 
--- a/tests/world_rules.py
+++ b/tests/world_rules.py
@@ -23,7 +23,7 @@
         self.starts.append((self.now, task, worker.id))
         for other, where in self.on_machines():
             if other == task and where is not worker:
-                self.broken.append(f"ran_twice: {task} on {where.id} and {worker.id}")
+                self.violations.append(f"ran_twice: {task} on {where.id} and {worker.id}")
         job = self.specs[task.job]
         used = job.cpus + sum(
             self.specs[x.job].cpus
@@ -31,18 +31,18 @@
             if self.specs[x.job].team == job.team
         )
         if used > self.settings.get("cpus_max", 16.0) + 1e-6:
-            self.broken.append(f"quota: {job.team} uses {used}")
+            self.violations.append(f"quota: {job.team} uses {used}")
         if not job.spot and worker.spot:
-            self.broken.append(f"wrong_place: {task} on a spot machine")
+            self.violations.append(f"wrong_place: {task} on a spot machine")
         if job.zone is not None and job.zone != worker.zone:
-            self.broken.append(f"wrong_place: {task} in zone {worker.zone}")
+            self.violations.append(f"wrong_place: {task} in zone {worker.zone}")
         if job.together and any(
             x.job == job.uid and w.zone != worker.zone for x, w in self.on_machines()
         ):
-            self.broken.append(f"wrong_place: {task} in zone {worker.zone}, others elsewhere")
+            self.violations.append(f"wrong_place: {task} in zone {worker.zone}, others elsewhere")
         if job.spread:
             here = 1 + sum(
                 1 for x, w in self.on_machines() if x.job == job.uid and w.zone == worker.zone
             )
             if here > (job.tasks + 1) // 2:
-                self.broken.append(f"wrong_place: {task} makes {here} in zone {worker.zone}")
+                self.violations.append(f"wrong_place: {task} makes {here} in zone {worker.zone}")
--- a/tests/world_users.py
+++ b/tests/world_users.py
@@ -75,10 +75,10 @@
         if stage == "cancelled":
             self.cancelled_at.setdefault(uid, self.now)
         if before in ("done", "cancelled") and stage != before:
-            self.broken.append(f"went_back: {uid} {before} -> {stage}")
+            self.violations.append(f"went_back: {uid} {before} -> {stage}")
         # Told before that it is unknown, a job was not accepted yet, if it ever was.
         if before not in (None, "unknown") and stage == "unknown":
-            self.broken.append(f"forgotten: {uid}")
+            self.violations.append(f"forgotten: {uid}")
         if stage == "done":
             missing = [
                 i
@@ -86,7 +86,7 @@
                 if not any(x.job == uid and x.number == i for x in self.finished)
             ]
             if missing:
-                self.broken.append(f"not_done: {uid} lacks {missing}")
+                self.violations.append(f"not_done: {uid} lacks {missing}")
         # Of answers that crossed the final one, or any after a 404, is what the user keeps.
         if self.last_stages.get(uid) not in ("done", "cancelled") and (
             stage != "unknown" or before is None
--- a/tools/measure_entitlements_world.py
+++ b/tools/measure_entitlements_world.py
@@ -120,7 +120,7 @@
     world.run(SETTLE_S)
     result |= {
         "moved_after_all": transfers(world) - before,
-        "broken": world.broken,
+        "broken": world.violations,
         "cpu_s": round(time.process_time() - began, 1),
         "plans": timer.told(),
     }
--- a/tools/measure_locality_world.py
+++ b/tools/measure_locality_world.py
@@ -104,7 +104,7 @@
         "workers": workers,
         "on": on,
         "seed": seed,
-        "broken": world.broken,
+        "broken": world.violations,
         "begun": sum(m["begun"] for m in moves),
         "given_up": sum(m["given up"] for m in moves),
         "near_again_s": [round(b) for b in back],
