--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -79,7 +79,7 @@
         world.hold = True
         world.cut.update(frozenset((id, m)) for id in ids for m in world.members)
     elif how == "deaf":
-        world.deaf.update(ids)
+        world.inbound_cut.update(ids)
     else:
         for id in ids:
             world.workers[id].hung = True
@@ -94,7 +94,7 @@
 def calm(world: World, limit: float = 90.0) -> None:
     """The troubles are over: what should be true of every job then."""
     world.cut.clear()
-    world.deaf.clear()
+    world.inbound_cut.clear()
     world.mute.clear()
     world.state.refusing.clear()
     if world.state.down:
--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -43,7 +43,7 @@
     world.until(lambda: len(world.on_machines()) == 2, 10)
     worker = world.on_machines()[0][1]
     node, _ = owner_of(world, worker.id)
-    world.deaf.add(worker.id)
+    world.inbound_cut.add(worker.id)
     if restarts:
         world.crash(node.context.me)
         world.start(node.context.me)
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -278,11 +278,11 @@
         which |= ids
         self.world.after(seconds, lambda: which.difference_update(ids))
 
-    def deaf(self) -> None:
-        self._one_way(self.world.deaf, False, 2.0 + self.pick % 15)
+    def inbound_cut(self) -> None:
+        self._one_way(self.world.inbound_cut, False, 2.0 + self.pick % 15)
 
     def many_deaf(self) -> None:
-        self._one_way(self.world.deaf, True, 2.0 + self.pick % 15)
+        self._one_way(self.world.inbound_cut, True, 2.0 + self.pick % 15)
 
     def mute(self) -> None:
         self._one_way(self.world.mute, False, 2.0 + self.pick % 12)
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -177,12 +177,12 @@
     for m in members[:2]:
         world.crash(m)
     world.state.outage(True)
-    world.deaf |= set(list(world.workers)[:3])
+    world.inbound_cut |= set(list(world.workers)[:3])
     world.run(15.0)
     world.state.outage(False)
     for m in members[:2]:
         world.start(m)
-    world.deaf.clear()
+    world.inbound_cut.clear()
     world.run(10.0)
     for m in members:
         assert all(world.poll(f"j-00000{n}", m) in ("queued", "running") for n in range(4))
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -100,7 +100,7 @@
     elif how == "mute":
         world.mute.add(victim.id)
     elif how == "deaf":
-        world.deaf.add(victim.id)
+        world.inbound_cut.add(victim.id)
     else:
         victim.sick = True
         world.after(1.0, lambda: setattr(victim, "sick", False))
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -173,7 +173,7 @@
         node.shares.owned[share].settled = False
         held = next(m for m in node.fleet.of_share(share))
         held.settled = False
-        world.deaf |= {held.id}
+        world.inbound_cut |= {held.id}
     elif trouble == "former version":
         for each in nodes(world):
             each.store.values.pop("rc/format", None)
@@ -272,8 +272,8 @@
         worker.hung = True
         world.after(4.0, lambda: setattr(worker, "hung", False))
     elif how == "is deaf":
-        world.deaf.add(worker.id)
-        world.after(20.0, lambda: world.deaf.discard(worker.id))
+        world.inbound_cut.add(worker.id)
+        world.after(20.0, lambda: world.inbound_cut.discard(worker.id))
     else:
         worker.notice_s = 20.0
         world.after(10.0, lambda: setattr(worker, "alive", False))
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -67,7 +67,7 @@
         world.run(CANCEL_S)
         assert not world.violations
     world.cut.clear()
-    world.deaf.clear()
+    world.inbound_cut.clear()
     world.mute.clear()
     world.lose = world.lost_answers = 0.0
     world.deliver_held()
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -86,7 +86,7 @@
     world.submit(spec("j-000410", service=True, tasks=2))
     world.until(lambda: len(world.on_machines()) == 2, 10)
     for worker in world.workers.values():
-        world.deaf.add(worker.id)
+        world.inbound_cut.add(worker.id)
     world.cancel("j-000410")
     world.submit(spec("j-000411", service=True, tasks=2))
     world.run(CANCEL_S + 10.0)
@@ -98,12 +98,12 @@
 def test_a_machine_is_used_again_once_it_is_reached() -> None:
     world = ready(machines=1, lease_s=12.0)
     node, machine = owner_of(world, next(iter(world.workers)))
-    world.deaf.add(machine.id)
+    world.inbound_cut.add(machine.id)
     node.fleet.commands.suspect(machine)
     world.run(0.9)
     assert node.fleet.silent_s(machine) < 1.3
     assert not node.fleet.usable(machine), "heard is not reached"
-    world.deaf.clear()
+    world.inbound_cut.clear()
     world.until(lambda: node.fleet.usable(machine), 8)
     world.submit(spec("j-000420", tasks=1))
     world.until(lambda: world.poll("j-000420") == "done", 15)
@@ -143,7 +143,7 @@
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     assert node.fleet.usable(machine)
-    world.deaf.add(machine.id)
+    world.inbound_cut.add(machine.id)
     world.submit(spec("j-000430", tasks=1))
     world.until(lambda: machine.suspected, 6)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -102,7 +102,7 @@
         self.cut: set[frozenset[str]] = set()  # pairs that can't reach each other
         self.hold = False  # do cuts hold commands back, to deliver them late?
         self.held: list[Callable[[], None]] = []
-        self.deaf: set[str] = set()  # workers whose reports arrive, and nothing reaches them
+        self.inbound_cut: set[str] = set()  # workers whose reports arrive, and nothing reaches them
         self.fetch_s = 0.2  # until a machine holds an image
         self.gangs: dict[tuple[Any, int], Gang] = {}  # by job and attempt
         self.progress: dict[Any, float] = {}  # of gangs, saved
@@ -351,7 +351,7 @@
 
         def arrive() -> None:
             lost = self.rng.random() < self.lose
-            if not self.reachable(member, id) or lost or id in self.deaf:
+            if not self.reachable(member, id) or lost or id in self.inbound_cut:
                 if self.hold or lost:
                     self.held.append(late)
                 self.after(2.0, lambda: back(0))
@@ -374,7 +374,7 @@
                 worker is None
                 or not worker.alive
                 or worker.hung
-                or id in self.deaf
+                or id in self.inbound_cut
                 or not self.reachable(member, id)
             ):
                 self.after(2.0, lambda: back(0))
--- a/tests/world_users.py
+++ b/tests/world_users.py
@@ -22,7 +22,7 @@
             event.request = next(self._requests)
 
             def reply(answer: Any) -> None:
-                if self.reachable(origin, member) and origin not in self.deaf:
+                if self.reachable(origin, member) and origin not in self.inbound_cut:
                     self.after(self._latency(), lambda: answered(answer))
 
             self._answers[(member, self.generation[member], event.request)] = reply
