--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -95,7 +95,7 @@
     """The troubles are over: what should be true of every job then."""
     world.cut.clear()
     world.inbound_cut.clear()
-    world.mute.clear()
+    world.outbound_cut.clear()
     world.state.refusing.clear()
     if world.state.down:
         world.state.outage(False)
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -284,11 +284,11 @@
     def many_deaf(self) -> None:
         self._one_way(self.world.inbound_cut, True, 2.0 + self.pick % 15)
 
-    def mute(self) -> None:
-        self._one_way(self.world.mute, False, 2.0 + self.pick % 12)
+    def outbound_cut(self) -> None:
+        self._one_way(self.world.outbound_cut, False, 2.0 + self.pick % 12)
 
     def many_mute(self) -> None:
-        self._one_way(self.world.mute, True, 2.0 + self.pick % 12)
+        self._one_way(self.world.outbound_cut, True, 2.0 + self.pick % 12)
 
     def lossy(self) -> None:
         self.world.lose = 0.3
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -20,7 +20,7 @@
 ) -> None:
     world = busy(members)
     ids = sorted(world.workers)
-    world.mute.update(ids if how_many == "all" else ids[::3])
+    world.outbound_cut.update(ids if how_many == "all" else ids[::3])
     world.run(1.0)
     submit(world, spec("j-000100", tasks=6, team="team-1"), members[0])
     send(world, members[1], t.Cancel(0, "j-000010"))
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -98,7 +98,7 @@
     elif how == "blink":
         victim.blink()
     elif how == "mute":
-        world.mute.add(victim.id)
+        world.outbound_cut.add(victim.id)
     elif how == "deaf":
         world.inbound_cut.add(victim.id)
     else:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -68,7 +68,7 @@
         assert not world.violations
     world.cut.clear()
     world.inbound_cut.clear()
-    world.mute.clear()
+    world.outbound_cut.clear()
     world.lose = world.lost_answers = 0.0
     world.deliver_held()
     world.run(30.0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -107,7 +107,7 @@
         self.gangs: dict[tuple[Any, int], Gang] = {}  # by job and attempt
         self.progress: dict[Any, float] = {}  # of gangs, saved
         self.gang_runs: list[tuple[float, Any, int]] = []  # when gangs began to run
-        self.mute: set[str] = set()  # workers that reach no node, while commands reach them
+        self.outbound_cut: set[str] = set()  # workers that reach no node, while commands reach them
         self.slow_state = 0.0  # seconds more that the state service takes to answer
         self.slow_links = 0.0  # seconds more that every message takes
         self.lost_answers = 0.0  # share of changes carried out at once whose answer is lost
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -110,7 +110,7 @@
         if self.hung or self.waiting:
             return
         self.step()
-        if self.id in self.world.mute:  # no connection to any node: it tries the next one
+        if self.id in self.world.outbound_cut:  # no connection to any node: it tries the next one
             self.next_node()
             return
         self.waiting = True
