--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -294,8 +294,8 @@
         self.world.lose = 0.3
         self._later(3.0, "lose", 0.0)
 
-    def echo(self) -> None:
-        self.world.echo = 0.3
+    def duplicate_rate(self) -> None:
+        self.world.duplicate_rate = 0.3
         self._later(4.0, "echo", 0.0)
 
     def held(self) -> None:
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -168,7 +168,7 @@
     members: tuple[str, ...], pause: float
 ) -> None:
     world = World(machines=5, members=members, seed=7)
-    world.echo = 0.4
+    world.duplicate_rate = 0.4
     world.run(4.0)
     for n in range(4):
         world.submit(spec(f"j-00071{n}", service=True, tasks=1, team=f"team-{n}"), members[-1])
@@ -182,7 +182,7 @@
             world.crash(member)
             world.after(pause, lambda m=member: world.start(m))  # type: ignore[misc]
     world.run(20.0)
-    world.echo = 0.0
+    world.duplicate_rate = 0.0
     world.run(20.0)
     assert len(world.on_machines()) == 4 and not world.violations
     assert all(n is not None and n.authority.entitled() for n in world.nodes.values())
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -316,7 +316,7 @@
 
 def test_late_copies_of_the_stop_and_of_reports_start_and_stop_nothing() -> None:
     world = moving()
-    world.echo = 1.0
+    world.duplicate_rate = 1.0
     runs_again(world)
     world.run(30.0)
     assert len(tasks_of(world)) == 1 and not world.violations
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -271,12 +271,12 @@
     for seed in range(3):
         world = contended(members, seed=seed)
         raised(world)
-        world.late_writes, world.lost_answers, world.echo = 0.3, 0.3, 0.2
+        world.late_writes, world.lost_answers, world.duplicate_rate = 0.3, 0.3, 0.2
         for n in range(6):
             end_of(world, members[(seed + n) % len(members)], 3.0)
             world.run(6.0)
             world.right()
-        world.late_writes = world.lost_answers = world.echo = 0.0
+        world.late_writes = world.lost_answers = world.duplicate_rate = 0.0
         world.run(15.0)
         reached(world)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -111,7 +111,7 @@
         self.slow_state = 0.0  # seconds more that the state service takes to answer
         self.slow_links = 0.0  # seconds more that every message takes
         self.lost_answers = 0.0  # share of changes carried out at once whose answer is lost
-        self.echo = 0.0  # share of messages of which a copy arrives again, late
+        self.duplicate_rate = 0.0  # share of messages of which a copy arrives again, late
         self.lose = 0.0  # share of messages to workers and of answers that get lost
         self.late_writes = 0.0  # share of changes without an answer, carried out 2 to 12 s later
         self.failing_jobs: set[str] = set()  # jobs whose tasks fail wherever they start
@@ -307,7 +307,7 @@
 
     def _copy(self, arrive: Callable[[], None]) -> None:
         """Perhaps the same message comes once more, by up to well over a lease later."""
-        if self.echo and self.rng.random() < self.echo:
+        if self.duplicate_rate and self.rng.random() < self.duplicate_rate:
             self.after(self.rng.uniform(0.5, 3 * LEASE_S), arrive)
 
     def _to_state(self, member: str, effect: Any, back: Callable[..., None]) -> None:
