--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -175,7 +175,7 @@
     members: tuple[str, ...],
 ) -> None:
     world = busy(members)
-    world.slow_state = 1.2
+    world.state_delay_s = 1.2
     for n in range(TEAMS):
         for member in members:
             send(world, member, t.Cancel(0, f"j-00001{n}"))
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -304,13 +304,13 @@
 @pytest.mark.parametrize("how", ["dies", "taken"])
 def test_a_machine_is_lost_while_it_is_handed_over(members: tuple[str, ...], how: str) -> None:
     world = contended(members)
-    world.slow_state = 0.5
+    world.state_delay_s = 0.5
     raised(world)
     _, machine = handed_over(world)
     world.workers[str(machine.id)].alive = False
     if how == "taken":
         world.workers.pop(str(machine.id))
-    world.slow_state = 0.0
+    world.state_delay_s = 0.0
     world.until(lambda: str(machine.id) not in world.checker.recorded(), 90)
     world.until(lambda: world.near(dealers=3, registry=9), MINUTE_S)
     world.right()
@@ -319,12 +319,12 @@
 @BOTH
 def test_a_cut_lands_while_a_machine_is_handed_over(members: tuple[str, ...]) -> None:
     world = contended(members)
-    world.slow_state = 0.5
+    world.state_delay_s = 0.5
     raised(world)
     handed_over(world)
     answer = world.apply({DEALERS: 3.0, REGISTRY: 1.0}, world.version())
     assert answer is not None and answer.result == "ok"
-    world.slow_state = 0.0
+    world.state_delay_s = 0.0
     world.until(lambda: world.near(dealers=9, registry=3), MINUTE_S)
     world.right()
 
@@ -332,11 +332,11 @@
 @BOTH
 def test_the_owner_ends_while_it_hands_a_machine_over(members: tuple[str, ...]) -> None:
     world = contended(members)
-    world.slow_state = 0.5
+    world.state_delay_s = 0.5
     raised(world)
     owner, _ = handed_over(world)
     end_of(world, owner, 0.1)
-    world.slow_state = 0.0
+    world.state_delay_s = 0.0
     reached(world, MINUTE_S + 3 * LEASE_S)
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -108,7 +108,7 @@
         self.progress: dict[Any, float] = {}  # of gangs, saved
         self.gang_runs: list[tuple[float, Any, int]] = []  # when gangs began to run
         self.outbound_cut: set[str] = set()  # workers that reach no node, while commands reach them
-        self.slow_state = 0.0  # seconds more that the state service takes to answer
+        self.state_delay_s = 0.0  # seconds more that the state service takes to answer
         self.slow_links = 0.0  # seconds more that every message takes
         self.lost_answers = 0.0  # share of changes carried out at once whose answer is lost
         self.duplicate_rate = 0.0  # share of messages of which a copy arrives again, late
@@ -326,7 +326,7 @@
             if self.rng.random() < share:
                 self.after(1.5, lambda: back(0))  # applied, but the answer is lost
             else:
-                self.after(self._latency() + self.slow_state, lambda: back(status, body))
+                self.after(self._latency() + self.state_delay_s, lambda: back(status, body))
 
         self.after(self._latency(), serve)
         if isinstance(effect, t.Commit):
