--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -100,7 +100,7 @@
     if world.state.down:
         world.state.outage(False)
     world.loss_rate = world.late_writes = world.lost_answers = world.duplicate_rate = 0.0
-    world.state_delay_s = world.slow_links = 0.0
+    world.state_delay_s = world.link_delay_s = 0.0
     for worker in world.workers.values():
         worker.hung = False
     for member in world.members:
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -77,7 +77,7 @@
 @BOTH
 def test_more_work_than_room_urgent_and_not_over_slow_links(members: tuple[str, ...]) -> None:
     world = fresh(members, 5)
-    world.slow_links = 0.25
+    world.link_delay_s = 0.25
     for n in range(12):
         submit(
             world,
--- a/tests/world.py
+++ b/tests/world.py
@@ -109,7 +109,7 @@
         self.gang_runs: list[tuple[float, Any, int]] = []  # when gangs began to run
         self.outbound_cut: set[str] = set()  # workers that reach no node, while commands reach them
         self.state_delay_s = 0.0  # seconds more that the state service takes to answer
-        self.slow_links = 0.0  # seconds more that every message takes
+        self.link_delay_s = 0.0  # seconds more that every message takes
         self.lost_answers = 0.0  # share of changes carried out at once whose answer is lost
         self.duplicate_rate = 0.0  # share of messages of which a copy arrives again, late
         self.loss_rate = 0.0  # share of messages to workers and of answers that get lost
@@ -241,7 +241,7 @@
         return frozenset((a, b)) not in self.cut
 
     def _latency(self) -> float:
-        return self.rng.uniform(0.001, 0.02) + self.slow_links
+        return self.rng.uniform(0.001, 0.02) + self.link_delay_s
 
     def _carry_out(self, member: str, effect: Any) -> None:
         generation = self.generation[member]
