--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -76,7 +76,7 @@
 def out_of_reach(world: World, ids: list[str], how: str) -> None:
     """Machines that are cut off, hear nothing, or hang; what is sent to them may come late."""
     if how == "cut":
-        world.hold = True
+        world.hold_commands = True
         world.cut.update(frozenset((id, m)) for id in ids for m in world.members)
     elif how == "deaf":
         world.inbound_cut.update(ids)
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -256,7 +256,7 @@
 
     def hold_worker(self) -> None:
         if self.worker is not None:
-            self.world.hold = True
+            self.world.hold_commands = True
             self._cut_worker()
 
     def hang(self) -> None:
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -59,7 +59,7 @@
     members: tuple[str, ...], seconds: float
 ) -> None:
     world = busy(members)
-    world.hold = True
+    world.hold_commands = True
     inside = {members[0], *(w.id for w in world.workers.values() if w.zone == "a")}
     outside = {*members, *world.workers, "state", "user"} - inside
     world.cut.update(frozenset((i, o)) for i in inside for o in outside)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -141,7 +141,7 @@
 def test_an_order_of_unknown_fate_does_not_start_a_task_twice() -> None:
     """A start held back on its way must find its token too low once the task is elsewhere."""
     world = started()
-    world.hold = True
+    world.hold_commands = True
     for worker in world.workers.values():
         for member in ("n0", "n1", "n2"):
             world.cut.add(frozenset((worker.id, member)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -49,7 +49,7 @@
 
     world.until(lambda: up() == 32, 20)
     workers = list(world.workers.values())
-    world.hold = True
+    world.hold_commands = True
     for worker in workers[:12]:
         worker.alive = False
     for worker in workers[12:24]:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -156,7 +156,7 @@
             world.after(4.0, lambda: setattr(world, "late_writes", 0.0))
         else:
             ids = sorted(world.workers)[:3]
-            world.hold = True
+            world.hold_commands = True
             pairs = [frozenset((id, m)) for id in ids for m in members]
             world.cut.update(pairs)
             world.after(4.0, lambda pairs=pairs: world.cut.difference_update(pairs))  # type: ignore[misc]
--- a/tests/world.py
+++ b/tests/world.py
@@ -100,7 +100,7 @@
         self.finished: set[Any] = set()
         self.violations: list[str] = []
         self.cut: set[frozenset[str]] = set()  # pairs that can't reach each other
-        self.hold = False  # do cuts hold commands back, to deliver them late?
+        self.hold_commands = False  # do cuts hold commands back, to deliver them late?
         self.held: list[Callable[[], None]] = []
         self.inbound_cut: set[str] = set()  # workers whose reports arrive, and nothing reaches them
         self.fetch_s = 0.2  # until a machine holds an image
@@ -352,7 +352,7 @@
         def arrive() -> None:
             lost = self.rng.random() < self.loss_rate
             if not self.reachable(member, id) or lost or id in self.inbound_cut:
-                if self.hold or lost:
+                if self.hold_commands or lost:
                     self.held.append(late)
                 self.after(2.0, lambda: back(0))
                 return
