--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -77,7 +77,7 @@
     """Machines that are cut off, hear nothing, or hang; what is sent to them may come late."""
     if how == "cut":
         world.hold_commands = True
-        world.cut.update(frozenset((id, m)) for id in ids for m in world.members)
+        world.cut_links.update(frozenset((id, m)) for id in ids for m in world.members)
     elif how == "deaf":
         world.inbound_cut.update(ids)
     else:
@@ -93,7 +93,7 @@
 
 def calm(world: World, limit: float = 90.0) -> None:
     """The troubles are over: what should be true of every job then."""
-    world.cut.clear()
+    world.cut_links.clear()
     world.inbound_cut.clear()
     world.outbound_cut.clear()
     world.state.refusing.clear()
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -49,8 +49,8 @@
         self.world.after(seconds, lambda: setattr(self.world, name, value))
 
     def _cut(self, pairs: list[frozenset[str]]) -> None:
-        self.world.cut.update(pairs)
-        self.world.after(2.0 + self.pick % 9, lambda: self.world.cut.difference_update(pairs))
+        self.world.cut_links.update(pairs)
+        self.world.after(2.0 + self.pick % 9, lambda: self.world.cut_links.difference_update(pairs))
 
     def _away(self, member: str, pause: float) -> None:
         if self.world.nodes[member] is not None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -61,7 +61,7 @@
 
 
 def apart(world: World, member: str, *others: str) -> None:
-    world.cut.update(frozenset((member, o)) for o in others if o != member)
+    world.cut_links.update(frozenset((member, o)) for o in others if o != member)
 
 
 def gone_in_time(world: World) -> None:
@@ -116,7 +116,7 @@
     assert world.poll(UID, taker) == "?" and world.now - before < 0.2
     gone_in_time(world)
     world.state.outage(False)
-    world.cut.clear()
+    world.cut_links.clear()
     world.until(lambda: world.poll(UID, taker) == "cancelled", 20)
     gone_in_time(world)
     assert not world.on_machines()
@@ -243,7 +243,7 @@
     assert world.poll(UID, reader) == "?", "read, but enough others aren't known to know"
     assert world.cancel(UID, reader) == "?"
     assert world.submit(world.specs[UID], reader) == 503  # type: ignore[index]
-    world.cut.clear()
+    world.cut_links.clear()
     world.until(lambda: world.poll(UID, reader) == "cancelled", 5)
     for member in members:
         assert world.poll(UID, member) == "cancelled"
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -62,13 +62,13 @@
     world.hold_commands = True
     inside = {members[0], *(w.id for w in world.workers.values() if w.zone == "a")}
     outside = {*members, *world.workers, "state", "user"} - inside
-    world.cut.update(frozenset((i, o)) for i in inside for o in outside)
+    world.cut_links.update(frozenset((i, o)) for i in inside for o in outside)
     world.run(1.0)
     for n in range(TEAMS):
         send(world, members[1], t.Cancel(0, f"j-00001{n}"))
         submit(world, spec(f"j-00010{n}", tasks=2, team=f"team-{n}"), members[2])
     world.run(seconds)
-    world.cut.clear()
+    world.cut_links.clear()
     world.deliver_held()
     world.run(2.0)
     calm(world)
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -132,7 +132,7 @@
     world = busy(members)
     old = leader(world)
     assert old is not None
-    world.cut.update(frozenset((old, o)) for o in (*members, "state") if o != old)
+    world.cut_links.update(frozenset((old, o)) for o in (*members, "state") if o != old)
     others = [m for m in members if m != old]
     for k in range(8):
         world.run(1.0)
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -80,8 +80,8 @@
         world.freeze(other, 9.0)
     else:
         pairs = [frozenset((other, m)) for m in (*FIVE, "state") if m != other]
-        world.cut.update(pairs)
-        world.after(9.0, lambda: world.cut.difference_update(pairs))
+        world.cut_links.update(pairs)
+        world.after(9.0, lambda: world.cut_links.difference_update(pairs))
     world.run(7.0)
     user = FIVE[2]
     for n in range(4):
@@ -152,7 +152,7 @@
         pairs += [frozenset((cut, id)) for id in world.workers]
     if what == "refused":
         world.state.refusing.add(cut)
-    world.cut.update(pairs)
+    world.cut_links.update(pairs)
     world.run(14.0)
     other = next(m for m in members if m != cut)
     assert world.submit(spec("j-000400", tasks=2), other) == 201
@@ -161,7 +161,7 @@
     if what not in ("workers", "peers"):
         health = world._user(cut, t.Health(0))
         assert health is not None and health.status == 503, "users are sent to the others"
-    world.cut.difference_update(pairs)
+    world.cut_links.difference_update(pairs)
     world.state.refusing.clear()
     world.run(20.0)
     assert len([s for s in world.starts[starts:] if s[1].job != "j-000400"]) == 0, "no lease lost"
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -144,10 +144,10 @@
     world.hold_commands = True
     for worker in world.workers.values():
         for member in ("n0", "n1", "n2"):
-            world.cut.add(frozenset((worker.id, member)))
+            world.cut_links.add(frozenset((worker.id, member)))
     world.submit(spec("j-000050", service=True, tasks=1))
     world.run(2.5)
-    world.cut.clear()
+    world.cut_links.clear()
     world.until(lambda: len(world.on_machines()) == 1, 20)
     world.cancel("j-000050")
     world.until(lambda: not world.on_machines(), 5)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -180,7 +180,7 @@
         node = next(n for n in world.nodes.values() if n is not None)
         record = node.fleet.records[worker.id]  # type: ignore[index]
         owner = node.shares.living_owner(record.share)
-        world.cut.add(frozenset((worker.id, str(owner))))
+        world.cut_links.add(frozenset((worker.id, str(owner))))
     world.run(20.0)
     assert len(world.on_machines()) == 3 and len(world.starts) == starts
     assert not world.violations
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -61,7 +61,7 @@
     world.until(lambda: world.poll("j-000003") == "running", 20)
     owner = owner_of_job(world, "j-000003")
     taker = next(m for m in members if m != owner)
-    world.cut.add(frozenset((owner, taker)))
+    world.cut_links.add(frozenset((owner, taker)))
     world.state.refusing.add(owner)
     world.run(0.2)
     assert world.cancel("j-000003", taker) == "cancelled"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -56,8 +56,8 @@
         worker.hung = True
         world.after(8.0, lambda w=worker: setattr(w, "hung", False))  # type: ignore[misc]
     held = {frozenset((w.id, m)) for w in workers[24:36] for m in FIVE}
-    world.cut |= held  # for longer than a lease, then delivered late
-    world.after(16.0, lambda: world.cut.difference_update(held))
+    world.cut_links |= held  # for longer than a lease, then delivered late
+    world.after(16.0, lambda: world.cut_links.difference_update(held))
     world.after(16.1, world.deliver_held)
     for worker in workers[36:48]:
         worker.blink()
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -118,7 +118,7 @@
     world = running(estimate_s=30.0)
     world.run(2.5)
     cut = machines_of(world)[0]
-    world.cut.update(frozenset((cut.id, m)) for m in MEMBERS)
+    world.cut_links.update(frozenset((cut.id, m)) for m in MEMBERS)
     other = next(w for w in machines_of(world) if w is not cut)
     other.alive = False
     starts, node = len(world.starts), node_of(world)
@@ -241,7 +241,7 @@
         end_of(world, leader(world) or members[0], 1.0)
     elif trouble == "machine cut" and machines_of(world):
         cut = machines_of(world)[0]
-        world.cut.update(frozenset((cut.id, m)) for m in members)
+        world.cut_links.update(frozenset((cut.id, m)) for m in members)
     for k in range(6):
         send(world, members[k % len(members)], t.Cancel(0, UID))
         world.run(0.5)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -110,7 +110,7 @@
     """Nobody grants it time, and another may have taken its shares."""
     world = ready()
     for other in ("state", "n1", "n2"):
-        world.cut.add(frozenset(("n0", other)))
+        world.cut_links.add(frozenset(("n0", other)))
     world.run(6.0)
     node = world.nodes["n0"]
     assert node is not None and not node.authority.entitled()
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -249,8 +249,8 @@
         world.after(8.0, lambda: world.start(member))
     elif how == "is cut off":
         pairs = {frozenset((member, o)) for o in (*members, *world.workers, "state") if o != member}
-        world.cut |= pairs
-        world.after(25.0, lambda: world.cut.difference_update(pairs))
+        world.cut_links |= pairs
+        world.after(25.0, lambda: world.cut_links.difference_update(pairs))
     else:
         world.state.refusing.add(member)
         world.after(15.0, lambda: world.state.refusing.discard(member))
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -84,11 +84,11 @@
     world, owner, machine = one_machine()
     world.submit(spec("j-000001", tasks=1, team=team_of(owner, machine), rank=3, estimate_s=LONG_S))
     world.until(lambda: machine.busy, 10)
-    world.cut.update(frozenset((str(machine.id), member)) for member in world.members)
+    world.cut_links.update(frozenset((str(machine.id), member)) for member in world.members)
     ask_to_vacate(owner, machine)
     world.run(2.0)
     assert closed(world, machine)
-    world.cut.clear()
+    world.cut_links.clear()
     world.workers[str(machine.id)].hung = True
     machine.heard = machine.last_answer = owner.context.now  # not taken for silent meanwhile
     with patch.object(owner.fleet, "silence_limit_s", lambda: 1e6):
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -66,7 +66,7 @@
     if world.state.down or world.state.refusing:
         world.run(CANCEL_S)
         assert not world.violations
-    world.cut.clear()
+    world.cut_links.clear()
     world.inbound_cut.clear()
     world.outbound_cut.clear()
     world.loss_rate = world.lost_answers = 0.0
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -158,8 +158,8 @@
             ids = sorted(world.workers)[:3]
             world.hold_commands = True
             pairs = [frozenset((id, m)) for id in ids for m in members]
-            world.cut.update(pairs)
-            world.after(4.0, lambda pairs=pairs: world.cut.difference_update(pairs))  # type: ignore[misc]
+            world.cut_links.update(pairs)
+            world.after(4.0, lambda pairs=pairs: world.cut_links.difference_update(pairs))  # type: ignore[misc]
         for k in range(4):
             submit(
                 world,
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -157,7 +157,7 @@
     world.until(lambda: len(world.on_machines()) == 4, 20)
     world.run(8.0)
     for other in (*members[1:], "state"):
-        world.cut.add(frozenset(("n0", other)))
+        world.cut_links.add(frozenset(("n0", other)))
     node = world.nodes["n0"]
     assert node is not None
     shares = set(node.shares.owned)
@@ -171,7 +171,7 @@
     world.until(lambda: all(other.shares.living_owner(s) not in (None, "n0") for s in shares), 10)
     world.run(12.0)
     assert len(world.on_machines()) == 4
-    world.cut.clear()
+    world.cut_links.clear()
     world.run(20.0)
     assert world.nodes["n0"].shares.owned, "its share is given back"  # type: ignore[union-attr]
     assert len(world.on_machines()) == 4 and not world.violations
--- a/tests/world.py
+++ b/tests/world.py
@@ -99,7 +99,7 @@
         self.specs: dict[Any, JobSpec] = {}
         self.finished: set[Any] = set()
         self.violations: list[str] = []
-        self.cut: set[frozenset[str]] = set()  # pairs that can't reach each other
+        self.cut_links: set[frozenset[str]] = set()  # pairs that can't reach each other
         self.hold_commands = False  # do cuts hold commands back, to deliver them late?
         self.held: list[Callable[[], None]] = []
         self.inbound_cut: set[str] = set()  # workers whose reports arrive, and nothing reaches them
@@ -238,7 +238,7 @@
             self._carry_out(member, effect)
 
     def reachable(self, a: str, b: str) -> bool:
-        return frozenset((a, b)) not in self.cut
+        return frozenset((a, b)) not in self.cut_links
 
     def _latency(self) -> float:
         return self.rng.uniform(0.001, 0.02) + self.link_delay_s
