--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -39,7 +39,7 @@
 def back(world: World, member: str, seconds: float, new: bool) -> None:
     world.crash(member)
     if new:
-        world.former.discard(member)
+        world.production_members.discard(member)
     world.after(seconds, lambda: world.start(member))
 
 
--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -207,7 +207,7 @@
 def test_no_division_is_stored_before_everybody_reads_it(members: tuple[str, ...]) -> None:
     world = PoolWorld(members)
     world.crash("n0")
-    world.former.add("n0")
+    world.production_members.add("n0")
     world.run(5.0)
     world.start("n0")
     world.run(5.0)
@@ -228,11 +228,11 @@
 ) -> None:
     world = contended(members)
     accepted(world.apply(RAISED, 0, "n1"))
-    world.former.add("n0")
+    world.production_members.add("n0")
     back(world, "n0", 1.0, new=False)
     world.run(6.0)
     former = world.nodes["n0"]
-    assert former is not None and "n0" in world.former
+    assert former is not None and "n0" in world.production_members
     for team in ("team-0", "team-1", "team-2", "team-3"):
         assert former.shares.of_team(team) == world.nodes["n1"].shares.of_team(team)  # type: ignore
     for _ in range(15):  # it may lead, and then divides as its version does
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -142,7 +142,7 @@
     old = next(m for m, n in world.nodes.items() if n and n.rental.leadership.leading)
     other = next(m for m in world.members if m != old)
     world.crash(other)
-    world.former.discard(other)
+    world.production_members.discard(other)
     world.start(other)
     node = world.nodes[other]
     assert node is not None
@@ -357,7 +357,7 @@
         assert len(up) == 12
         for member in world.members:
             world.crash(member)
-            world.former.discard(member)
+            world.production_members.discard(member)
             world.run(0.5)
             world.start(member)
             world.run(12.0)
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -45,7 +45,7 @@
             )
             world.run(2.0)
         assert not world.violations
-    assert not world.former
+    assert not world.production_members
     world.until(lambda: noted(world), 10)
     again = {
         x for x, w in world.on_machines() if any(x == task for _, task, _ in world.starts[starts:])
@@ -72,7 +72,7 @@
         world.run(6.0)
     world.until(lambda: noted(world), 10)
     # Should one be put back after that: nothing breaks.
-    world.former.add(members[2])
+    world.production_members.add(members[2])
     back(world, members[2], 1.0, new=False)
     world.run(10.0)
     calm(world)
--- a/tests/world.py
+++ b/tests/world.py
@@ -82,7 +82,9 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = itertools.count()
         self.members = members
-        self.former = set(members) if former else set()  # start as the version in production
+        self.production_members = (
+            set(members) if former else set()
+        )  # start as the version in production
         self.earlier = set(members) if earlier else set()  # as the version before divisions
         self.settings = settings
         self.locality = locality
@@ -162,7 +164,7 @@
         # A node of the version in production has the same parts, where tests look at them.
         self.nodes[member] = (
             Former(settings, self.operators, rng, now)  # type: ignore[assignment]
-            if member in self.former
+            if member in self.production_members
             else Earlier(settings, self.operators, rng, now)
             if member in self.earlier
             else self._node(settings, rng, now)
