--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -252,7 +252,7 @@
     world = contended(members)
     accepted(world.apply(RAISED, 0, "n1"))
     for member in members:
-        world.earlier.add(member)
+        world.pre_division_members.add(member)
         back(world, member, 1.0, new=False)
         world.run(12.0)
         world.right()
@@ -261,7 +261,7 @@
         assert known is not None and came is not None
         for team in ("team-0", "team-1", "team-2", "team-3"):
             assert came.shares.of_team(team) == known.shares.of_team(team)  # type: ignore
-        world.earlier.clear()
+        world.pre_division_members.clear()
         back(world, member, 1.0, new=True)
         world.run(4.0)
     world.until(lambda: world.near(dealers=3, registry=9), 120)
--- a/tests/world.py
+++ b/tests/world.py
@@ -85,7 +85,9 @@
         self.production_members = (
             set(members) if former else set()
         )  # start as the version in production
-        self.earlier = set(members) if earlier else set()  # as the version before divisions
+        self.pre_division_members = (
+            set(members) if earlier else set()
+        )  # as the version before divisions
         self.settings = settings
         self.locality = locality
         self.operators = operators or Operators()
@@ -166,7 +168,7 @@
             Former(settings, self.operators, rng, now)  # type: ignore[assignment]
             if member in self.production_members
             else Earlier(settings, self.operators, rng, now)
-            if member in self.earlier
+            if member in self.pre_division_members
             else self._node(settings, rng, now)
         )
         self._tick(member, self.generation[member])
