--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -26,7 +26,7 @@
 
 
 def busy(members: tuple[str, ...], machines: int = 12) -> World:
-    world = World(machines=machines, members=members, former=True, cpus_max=100.0)
+    world = World(machines=machines, members=members, on_production=True, cpus_max=100.0)
     world.run(4.0)
     for n in range(4):
         world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", service=True, rank=0, cpus=1.0))
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -137,7 +137,7 @@
 
 @mixed
 def test_a_leader_of_the_former_version_is_told_of_all_machines_at_once() -> None:
-    world = World(machines=9, former=True)
+    world = World(machines=9, on_production=True)
     world.run(5.0)
     old = next(m for m, n in world.nodes.items() if n and n.rental.leadership.leading)
     other = next(m for m in world.members if m != old)
@@ -347,7 +347,7 @@
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 2)
         patched.setattr("runcourse.core.running_counts.RUNNING_PAGE", 2)
-        world = World(machines=15, former=True, cpus_max=100.0)
+        world = World(machines=15, on_production=True, cpus_max=100.0)
         world.run(4.0)
         for n in range(4):
             job = spec(f"j-00005{n}", tasks=3, service=True, team=f"team-{n}", rank=0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -69,7 +69,7 @@
         seed: int = 1,
         machines: int = 4,
         members: tuple[str, ...] = MEMBERS,
-        former: bool = False,
+        on_production: bool = False,
         earlier: bool = False,
         locality: LocalitySettings | None = None,
         operators: Operators | None = None,
@@ -83,7 +83,7 @@
         self._count = itertools.count()
         self.members = members
         self.production_members = (
-            set(members) if former else set()
+            set(members) if on_production else set()
         )  # start as the version in production
         self.pre_division_members = (
             set(members) if earlier else set()
