--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -15,10 +15,12 @@
 STEPS = 25
 
 
-def played(seed: int, earlier: bool) -> dict[str, Any]:
+def played(seed: int, before_divisions: bool) -> dict[str, Any]:
     """What came of a long random story, and how far the random numbers were drawn."""
     members = (MEMBERS, FIVE)[seed % 2]
-    world = World(seed=seed, machines=9, members=members, earlier=earlier, cpus_max=24.0)
+    world = World(
+        seed=seed, machines=9, members=members, before_divisions=before_divisions, cpus_max=24.0
+    )
     world.run(3.0)
     plot = random.Random(seed)
     for number in range(STEPS):
--- a/tests/world.py
+++ b/tests/world.py
@@ -70,7 +70,7 @@
         machines: int = 4,
         members: tuple[str, ...] = MEMBERS,
         on_production: bool = False,
-        earlier: bool = False,
+        before_divisions: bool = False,
         locality: LocalitySettings | None = None,
         operators: Operators | None = None,
         entitlements: EntitlementSettings | None = None,
@@ -86,7 +86,7 @@
             set(members) if on_production else set()
         )  # start as the version in production
         self.pre_division_members = (
-            set(members) if earlier else set()
+            set(members) if before_divisions else set()
         )  # as the version before divisions
         self.settings = settings
         self.locality = locality
