--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -61,9 +61,9 @@
         if answer is None:
             return
         if answer.status in (200, 201):
-            world.note(uid, str(answer.body["stage"]), known)
+            world.record_stage(uid, str(answer.body["stage"]), known)
         elif answer.status == 404:
-            world.note(uid, "unknown", known)
+            world.record_stage(uid, "unknown", known)
 
     world.ask("user", member, event, answered)
 
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -203,7 +203,7 @@
                 ),
             )  # type: ignore[index]
 
-    note = world.note
+    note = world.record_stage
 
     def noting(uid: str, stage: str, known: str | None = None) -> None:
         before = world.last_stages.get(uid)
@@ -211,7 +211,7 @@
         if before != stage:
             look(uid)
 
-    world.note = noting  # type: ignore[method-assign]
+    world.record_stage = noting  # type: ignore[method-assign]
     for n in range(20):
         uid = f"j-0001{n:02d}"
         submit(
--- a/tests/world_users.py
+++ b/tests/world_users.py
@@ -50,7 +50,7 @@
         self.specs[job.uid] = job
         answer = self._user(member, t.Submit(0, job.uid, job))
         if answer is not None and answer.status in (200, 201):
-            self.note(job.uid, answer.body["stage"])
+            self.record_stage(job.uid, answer.body["stage"])
         return answer.status if answer else 0
 
     def poll(self, uid: str, member: str = "n0") -> str:
@@ -58,17 +58,17 @@
         if answer is None or answer.status not in (200, 404):
             return "?"
         stage = "unknown" if answer.status == 404 else str(answer.body["stage"])
-        self.note(uid, stage)
+        self.record_stage(uid, stage)
         return stage
 
     def cancel(self, uid: str, member: str = "n0") -> str:
         answer = self._user(member, t.Cancel(0, uid))
         if answer is None or answer.status != 200:
             return "?"
-        self.note(uid, answer.body["stage"])
+        self.record_stage(uid, answer.body["stage"])
         return str(answer.body["stage"])
 
-    def note(self, uid: str, stage: str, known: str | None = None) -> None:
+    def record_stage(self, uid: str, stage: str, known: str | None = None) -> None:
         """A user was told so. `known`: what the user had been told when the request was sent;
         answers that cross on their way prove nothing against each other."""
         before = known or self.last_stages.get(uid)
