--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -455,9 +455,9 @@
     class Counting(World):
         longest = 0
 
-        def _say(self, member: str, other: str, message: Any) -> None:
+        def _send_to_peer(self, member: str, other: str, message: Any) -> None:
             self.longest = max(self.longest, len(encode(message)))
-            super()._say(member, other, message)
+            super()._send_to_peer(member, other, message)
 
     keep = Operators(idle_return=1e6)
     world = Counting(machines=4000, cpus_max=400.0, lease_s=12.0, operators=keep)
--- a/tests/world.py
+++ b/tests/world.py
@@ -263,7 +263,7 @@
             case t.SendToPeer():
                 for other in self.members:
                     if other != member and effect.member in (None, other):
-                        self._say(member, other, effect.message)
+                        self._send_to_peer(member, other, effect.message)
             case t.Follow() | t.ReadAll() | t.Commit() | t.GrantLease() | t.ExtendLease():
                 self._to_state(member, effect, back)
             case t.Command():
@@ -300,7 +300,7 @@
                         worker.tasks.clear()
                 self.after(self._latency(), lambda: back(200))
 
-    def _say(self, member: str, other: str, message: PeerMessage) -> None:
+    def _send_to_peer(self, member: str, other: str, message: PeerMessage) -> None:
         if self.reachable(member, other):
 
             def arrive() -> None:
