--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -410,10 +410,10 @@
 def test_without_its_guards_the_checker_fails(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The owner's guard and the record's version are what the count rests on."""
     stories = {"owner": _stirred, "record": _passed_on}
-    assert not any(stories[guard](seed).checker.twice for seed in range(12))
+    assert not any(stories[guard](seed).checker.counted_twice for seed in range(12))
     nothing = Condition("rc/nothing", ABSENT)
     if guard == "owner":
         monkeypatch.setattr(Shares, "guard", lambda self, share: nothing)
     else:
         monkeypatch.setattr(transfers, "Condition", lambda key, stamp: nothing)
-    assert any(stories[guard](seed).checker.twice for seed in range(12))
+    assert any(stories[guard](seed).checker.counted_twice for seed in range(12))
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -61,7 +61,7 @@
             act(world, "source_moves", number // 2, number)
         world.run(pause)
         assert not world.violations
-        assert not checker.twice
+        assert not checker.counted_twice
     world.run(12.0)
     if world.state.down or world.state.refusing:
         world.run(CANCEL_S)
@@ -75,7 +75,7 @@
     world.deliver_held()
     world.run(5.0)
     assert not world.violations
-    assert not checker.twice
+    assert not checker.counted_twice
     # Services may hold all that a team may use: without them every array gets done.
     for uid in [u for u, told in world.last_stages.items() if told not in ("cancelled", "unknown")]:
         if world.specs[uid].service or uid in world.failing_jobs:
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -37,7 +37,7 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.twice: list[str] = []
+        self.counted_twice: list[str] = []
         self.alone_since: dict[str, float] = {}
         self.longest_alone = 0.0  # seconds for which a recorded machine was counted by nobody
         world.after(0.02, self._look)
@@ -55,7 +55,7 @@
                     counted.setdefault(str(machine.id), []).append(member)
         for id, members in counted.items():
             if len(members) > 1:
-                self.twice.append(f"{self.world.now:.2f}: {id} by {', '.join(members)}")
+                self.counted_twice.append(f"{self.world.now:.2f}: {id} by {', '.join(members)}")
         for id in self.recorded():
             if id in counted:
                 self.alone_since.pop(id, None)
@@ -169,7 +169,7 @@
     def right(self) -> bool:
         """No rule broken, no machine counted twice."""
         assert not self.violations
-        assert not self.checker.twice
+        assert not self.checker.counted_twice
         return True
 
 
--- a/tools/measure_entitlements_world.py
+++ b/tools/measure_entitlements_world.py
@@ -114,7 +114,7 @@
             "converged_s": round(world.now - at, 1),
             "moved": transfers(world) - before,
             "least": lacking,
-            "counted_twice": len(world.checker.twice),
+            "counted_twice": len(world.checker.counted_twice),
             "requests": dict(counts),
         }
     world.run(SETTLE_S)
