--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -119,7 +119,7 @@
         weights = RAISED if n % 2 else LOWERED
         accepted(world.apply(weights, n, members[n % len(members)]))
         world.run(6.0)
-        world.right()
+        world.assert_rules_hold()
     world.until(lambda: world.near(dealers=3, registry=9), 60)
     assert len(world.state.data["rc/division"][0]["past"]) == 5, "bounded"
 
@@ -186,7 +186,7 @@
     world.array(DEALERS, 40)
     world.array(REGISTRY, 40)
     world.run(30.0)
-    world.right()
+    world.assert_rules_hold()
     assert world.finished, "it serves"
 
 
@@ -211,7 +211,7 @@
     world.run(5.0)
     world.start("n0")
     world.run(5.0)
-    world.right()
+    world.assert_rules_hold()
     assert "not every controller is known to read divisions: ['n0']" in refused(
         world.apply(RAISED, 0, "n1")
     )
@@ -237,11 +237,11 @@
         assert former.shares.of_team(team) == world.nodes["n1"].shares.of_team(team)  # type: ignore
     for _ in range(15):  # it may lead, and then divides as its version does
         world.run(2.0)
-        world.right()
+        world.assert_rules_hold()
     back(world, "n0", 1.0, new=True)
     world.run(10.0)
     world.until(lambda: world.near(dealers=3, registry=9), 60)
-    world.right()
+    world.assert_rules_hold()
 
 
 @earlier_history
@@ -255,7 +255,7 @@
         world.pre_division_members.add(member)
         back(world, member, 1.0, new=False)
         world.run(12.0)
-        world.right()
+        world.assert_rules_hold()
         known = world.nodes["n0" if member != "n0" else "n1"]
         came = world.nodes[member]
         assert known is not None and came is not None
@@ -265,7 +265,7 @@
         back(world, member, 1.0, new=True)
         world.run(4.0)
     world.until(lambda: world.near(dealers=3, registry=9), 120)
-    world.right()
+    world.assert_rules_hold()
 
 
 def test_the_dealing_is_read_by_every_version_alike() -> None:
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -144,7 +144,7 @@
         }
     assert world.near(dealers=6, registry=6)
     assert 5 <= len(stopped) <= 7, "a machine each for what is owed"
-    world.right()
+    world.assert_rules_hold()
 
 
 def test_an_owner_of_a_former_version_is_not_asked_to_stop_work_for_others() -> None:
@@ -163,7 +163,7 @@
     world.array(REGISTRY, 100, LONG_S, zone="a")
     world.array(DEALERS, 100, LONG_S, zone="b")
     world.until(lambda: world.running(REGISTRY) == 6 and world.running(DEALERS) == 6, 60)
-    world.right()
+    world.assert_rules_hold()
 
 
 def test_owners_are_told_of_each_need_in_its_turn_and_of_no_more_than_it_is() -> None:
@@ -182,7 +182,7 @@
         most = max(most, sum(closed(world, machine) for machine in owned))
     assert world.running(REGISTRY) == 2 + 1, "the small need is met beside the large one"
     assert most <= 2, "one for the need, at each of two owners"
-    world.right()
+    world.assert_rules_hold()
 
 
 def test_operators_see_how_the_organisations_fare() -> None:
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -37,7 +37,7 @@
 
 def reached(world: PoolWorld, limit: float = MINUTE_S) -> None:
     world.until(lambda: world.near(dealers=3, registry=9), limit)
-    world.right()
+    world.assert_rules_hold()
 
 
 def handed_over(world: PoolWorld) -> tuple[str, Machine]:
@@ -82,7 +82,7 @@
     placed = {task for task in restarted(world) if task.job <= "j-000002"}
     assert not placed, "what was placed runs on"
     world.until(lambda: sum(task.job <= "j-000002" for task in world.finished) == 24, 120)
-    world.right()
+    world.assert_rules_hold()
     assert world.checker.longest_uncounted_s <= CALM_HANDOVER_S
 
 
@@ -101,7 +101,7 @@
     reached(world)
     assert sum(job == uid for _, job, _ in world.gang_runs) == 1, "one attempt, whole"
     world.until(lambda: world.poll(uid, world.living()) == "done", 60)
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -122,7 +122,7 @@
     assert registry["why"] == "tasks of dealers that run hold 36"
     world.until(lambda: world.near(dealers=3, registry=9), begun + 100.0 + MINUTE_S - world.now)
     assert not restarted(world)
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -139,7 +139,7 @@
     assert world.holdings()[REGISTRY] == 4, "all that no replica holds"
     dealers = world.leader().entitlements.status()["organisations"][0]
     assert dealers["debt"] == 20.0 and dealers["held"] == 32.0
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -153,7 +153,7 @@
         world.array(REGISTRY, 400)
         world.until(lambda: world.near(dealers=6, registry=6), MINUTE_S)
         world.until(lambda: not world.running(REGISTRY) and not world.running(DEALERS), 400)
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -170,7 +170,7 @@
         assert world.near(dealers=6, registry=6)
         assert world.running(DEALERS, service=True) == 2
     assert world.running(DEALERS) >= 3, "no more is stopped than is owed"
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -183,7 +183,7 @@
     world.until(lambda: len(world.checker.recorded()) == 24, 120)
     world.run(5.0)
     assert world.near(dealers=6, registry=18)
-    world.right()
+    world.assert_rules_hold()
 
 
 def test_what_fits_no_machine_there_is_takes_none() -> None:
@@ -199,7 +199,7 @@
         moved += abs(world.holdings()[REGISTRY] - before)
     assert world.running(REGISTRY) == 4, "its other work gets what it can use"
     assert world.holdings()[REGISTRY] <= 5 and moved <= 8, "and nothing goes back and forth"
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -212,7 +212,7 @@
     world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
     world.array(REGISTRY, 400)
     world.until(lambda: world.near(dealers=4, registry=8), MINUTE_S)
-    world.right()
+    world.assert_rules_hold()
 
 
 # --- leaders, owners and the store -------------------------------------------------------
@@ -275,7 +275,7 @@
         for n in range(6):
             end_of(world, members[(seed + n) % len(members)], 3.0)
             world.run(6.0)
-            world.right()
+            world.assert_rules_hold()
         world.late_writes = world.lost_answers = world.duplicate_rate = 0.0
         world.run(15.0)
         reached(world)
@@ -294,7 +294,7 @@
         for share in targets:  # as a former and a present leader may ask in one moment
             owner.rental.transfers.handle(TransferMachine(machine.id, share))
         world.run(0.5)
-        world.right()
+        world.assert_rules_hold()
         record = world.state.data[f"rc/machine/{worker.id}"][0]
         assert record["share"] in (*targets, machine.share.number)
     world.until(lambda: world.near(dealers=6, registry=6), MINUTE_S)
@@ -313,7 +313,7 @@
     world.state_delay_s = 0.0
     world.until(lambda: str(machine.id) not in world.checker.recorded(), 90)
     world.until(lambda: world.near(dealers=3, registry=9), MINUTE_S)
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -326,7 +326,7 @@
     assert answer is not None and answer.result == "ok"
     world.state_delay_s = 0.0
     world.until(lambda: world.near(dealers=9, registry=3), MINUTE_S)
-    world.right()
+    world.assert_rules_hold()
 
 
 @BOTH
@@ -353,7 +353,7 @@
     waiting = world.now
     world.array(DEALERS, 4, 1.0, cpus=1.0)
     world.until(lambda: len(world.finished) == 4, waiting + 90.0 - world.now)
-    world.right()
+    world.assert_rules_hold()
 
 
 def _serves(node: Node, organisation: str) -> bool:
@@ -403,7 +403,7 @@
 def test_nothing_is_counted_twice_however_it_is_stirred() -> None:
     for seed in range(4):
         world = _stirred(seed)
-        world.right()
+        world.assert_rules_hold()
 
 
 @pytest.mark.parametrize("guard", ["owner", "record"])
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -166,7 +166,7 @@
         held = self.holdings()
         return all(abs(held[name] - number) <= 1 for name, number in machines.items())
 
-    def right(self) -> bool:
+    def assert_rules_hold(self) -> bool:
         """No rule broken, no machine counted twice."""
         assert not self.violations
         assert not self.checker.counted_twice
