--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -120,7 +120,7 @@
         accepted(world.apply(weights, n, members[n % len(members)]))
         world.run(6.0)
         world.assert_rules_hold()
-    world.until(lambda: world.near(dealers=3, registry=9), 60)
+    world.until(lambda: world.holdings_near(dealers=3, registry=9), 60)
     assert len(world.state.data["rc/division"][0]["past"]) == 5, "bounded"
 
 
@@ -240,7 +240,7 @@
         world.assert_rules_hold()
     back(world, "n0", 1.0, new=True)
     world.run(10.0)
-    world.until(lambda: world.near(dealers=3, registry=9), 60)
+    world.until(lambda: world.holdings_near(dealers=3, registry=9), 60)
     world.assert_rules_hold()
 
 
@@ -264,7 +264,7 @@
         world.pre_division_members.clear()
         back(world, member, 1.0, new=True)
         world.run(4.0)
-    world.until(lambda: world.near(dealers=3, registry=9), 120)
+    world.until(lambda: world.holdings_near(dealers=3, registry=9), 120)
     world.assert_rules_hold()
 
 
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -142,7 +142,7 @@
             for (task, _), entry in worker.tasks.items()
             if entry[0] == "saving"
         }
-    assert world.near(dealers=6, registry=6)
+    assert world.holdings_near(dealers=6, registry=6)
     assert 5 <= len(stopped) <= 7, "a machine each for what is owed"
     world.assert_rules_hold()
 
@@ -155,7 +155,7 @@
         world.array(REGISTRY, 400, LONG_S)
         world.run(30.0)
     assert world.running(DEALERS) == 12
-    world.until(lambda: world.near(dealers=6, registry=6), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
 
 
 def test_what_its_holder_has_no_use_for_is_lent_though_work_waits_there() -> None:
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -36,7 +36,7 @@
 
 
 def reached(world: PoolWorld, limit: float = MINUTE_S) -> None:
-    world.until(lambda: world.near(dealers=3, registry=9), limit)
+    world.until(lambda: world.holdings_near(dealers=3, registry=9), limit)
     world.assert_rules_hold()
 
 
@@ -120,7 +120,9 @@
     registry = status["organisations"][1]
     assert not status["converged"] and registry["lacking"] == 36.0
     assert registry["why"] == "tasks of dealers that run hold 36"
-    world.until(lambda: world.near(dealers=3, registry=9), begun + 100.0 + MINUTE_S - world.now)
+    world.until(
+        lambda: world.holdings_near(dealers=3, registry=9), begun + 100.0 + MINUTE_S - world.now
+    )
     assert not restarted(world)
     world.assert_rules_hold()
 
@@ -151,7 +153,7 @@
         world.array(DEALERS, 120)
         world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
         world.array(REGISTRY, 400)
-        world.until(lambda: world.near(dealers=6, registry=6), MINUTE_S)
+        world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
         world.until(lambda: not world.running(REGISTRY) and not world.running(DEALERS), 400)
     world.assert_rules_hold()
 
@@ -164,10 +166,10 @@
     world.until(lambda: world.running(DEALERS) == 10, 30)
     world.array(DEALERS, 40, LONG_S, rank=2)  # waits here: it has no claim on what is owed
     world.array(REGISTRY, 400, LONG_S, rank=1)
-    world.until(lambda: world.near(dealers=6, registry=6), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
     for _ in range(20):
         world.run(3.0)
-        assert world.near(dealers=6, registry=6)
+        assert world.holdings_near(dealers=6, registry=6)
         assert world.running(DEALERS, service=True) == 2
     assert world.running(DEALERS) >= 3, "no more is stopped than is owed"
     world.assert_rules_hold()
@@ -178,11 +180,11 @@
     world = contended(members, estimate_s=LONG_S)
     raised(world)
     world.run(10.0)
-    assert world.near(dealers=6, registry=6), "long tasks run on"
+    assert world.holdings_near(dealers=6, registry=6), "long tasks run on"
     world.capacity += 12
     world.until(lambda: len(world.checker.recorded()) == 24, 120)
     world.run(5.0)
-    assert world.near(dealers=6, registry=18)
+    assert world.holdings_near(dealers=6, registry=18)
     world.assert_rules_hold()
 
 
@@ -211,7 +213,7 @@
     world.array(DEALERS, 200)
     world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
     world.array(REGISTRY, 400)
-    world.until(lambda: world.near(dealers=4, registry=8), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=4, registry=8), MINUTE_S)
     world.assert_rules_hold()
 
 
@@ -297,7 +299,7 @@
         world.assert_rules_hold()
         record = world.state.data[f"rc/machine/{worker.id}"][0]
         assert record["share"] in (*targets, machine.share.number)
-    world.until(lambda: world.near(dealers=6, registry=6), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
 
 
 @BOTH
@@ -312,7 +314,7 @@
         world.workers.pop(str(machine.id))
     world.state_delay_s = 0.0
     world.until(lambda: str(machine.id) not in world.checker.recorded(), 90)
-    world.until(lambda: world.near(dealers=3, registry=9), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=3, registry=9), MINUTE_S)
     world.assert_rules_hold()
 
 
@@ -325,7 +327,7 @@
     answer = world.apply({DEALERS: 3.0, REGISTRY: 1.0}, world.version())
     assert answer is not None and answer.result == "ok"
     world.state_delay_s = 0.0
-    world.until(lambda: world.near(dealers=9, registry=3), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=9, registry=3), MINUTE_S)
     world.assert_rules_hold()
 
 
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -161,7 +161,7 @@
         stored = self.state.data.get("rc/leader")
         return stored is not None and self.nodes[stored[0]["member"]] is not None
 
-    def near(self, **machines: int) -> bool:
+    def holdings_near(self, **machines: int) -> bool:
         """Does each organisation hold so many machines, within one?"""
         held = self.holdings()
         return all(abs(held[name] - number) <= 1 for name, number in machines.items())
@@ -193,5 +193,5 @@
     for organisation in TEAMS:
         world.array(organisation, 400, estimate_s)
     half = len(world.workers) // 2
-    world.until(lambda: world.near(dealers=half, registry=half), MINUTE_S)
+    world.until(lambda: world.holdings_near(dealers=half, registry=half), MINUTE_S)
     return world
--- a/tools/measure_entitlements_world.py
+++ b/tools/measure_entitlements_world.py
@@ -109,7 +109,7 @@
         assert answer is not None and answer.result == "ok", answer
         at = world.now
         wanted = {"dealers": machines // 4, "registry": machines - machines // 4}
-        world.until(lambda: world.near(**wanted), LIMIT_S)
+        world.until(lambda: world.holdings_near(**wanted), LIMIT_S)
         result |= {
             "converged_s": round(world.now - at, 1),
             "moved": transfers(world) - before,
