--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -28,7 +28,7 @@
 def raised(world: PoolWorld, member: str | None = None) -> None:
     """The division is put in force through any controller, as often as it takes."""
     for _ in range(10):
-        answer = world.apply(RAISED, 0, member or world.living(), note="release")
+        answer = world.apply(RAISED, 0, member or world.first_live_member(), note="release")
         if answer is not None and answer.result == "ok":
             return
         world.run(2.0)
@@ -100,7 +100,7 @@
     world.until(lambda: any(job == uid for _, job, _ in world.gang_runs), 30)
     reached(world)
     assert sum(job == uid for _, job, _ in world.gang_runs) == 1, "one attempt, whole"
-    world.until(lambda: world.poll(uid, world.living()) == "done", 60)
+    world.until(lambda: world.poll(uid, world.first_live_member()) == "done", 60)
     world.assert_rules_hold()
 
 
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -100,13 +100,15 @@
             self.jobs += 1
             uid = f"j-{self.jobs:06d}"
             values: dict[str, Any] = {"cpus": 4.0, "estimate_s": estimate_s, "team": team}
-            self.submit(spec(uid, tasks=(tasks + 1) // 2, **{**values, **changes}), self.living())
+            self.submit(
+                spec(uid, tasks=(tasks + 1) // 2, **{**values, **changes}), self.first_live_member()
+            )
         return uid
 
     def replicas(self, organisation: str, tasks: int) -> str:
         return self.array(organisation, tasks, 0.0, service=True, rank=0)
 
-    def living(self) -> str:
+    def first_live_member(self) -> str:
         return next(m for m in self.members if self.nodes[m] is not None)
 
     def running(self, organisation: str, service: bool = False) -> int:
