--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -245,7 +245,7 @@
 @BOTH
 def test_a_cut_lands_during_a_takeover(members: tuple[str, ...]) -> None:
     world = contended(members)
-    giver = next(s for s in range(len(members)) if world.serves(s) == DEALERS)
+    giver = next(s for s in range(len(members)) if world.organisation_of_share(s) == DEALERS)
     owner = world.state.data[f"rc/share/{giver}"][0]["owner"]
     world.crash(owner)
     world.run(0.5)
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -139,7 +139,7 @@
 
     # --- the pool --------------------------------------------------------------------
 
-    def serves(self, share: int) -> str | None:
+    def organisation_of_share(self, share: int) -> str | None:
         """Whom a share serves, by the stored mapping alone."""
         names = self.state.data["rc/mapping"][0]["dealt"]
         teams = {n for k, n in enumerate(names) if k % len(self.members) == share and n}
@@ -148,7 +148,7 @@
     def holdings(self) -> Counter[str | None]:
         """Machines of each organisation, as the records have it."""
         return Counter(
-            self.serves(value["share"])
+            self.organisation_of_share(value["share"])
             for key, (value, _, _) in self.state.data.items()
             if key.startswith("rc/machine/") and not value.get("gone") and not value["leaving"]
         )
