--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -129,7 +129,7 @@
     world = recorded()
     marks = {"checkpoint_s": 5.0, "save_s": 8.0}
     world.array(DEALERS, 12, LONG_S, rank=3, **marks)
-    world.until(lambda: world.running(DEALERS) == 12, 30)
+    world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     world.run(6.0)
     world.array(REGISTRY, 400, LONG_S)
     stopped = set()
@@ -150,11 +150,11 @@
 def test_an_owner_of_a_former_version_is_not_asked_to_stop_work_for_others() -> None:
     world = recorded()
     world.array(DEALERS, 12, LONG_S, rank=3)
-    world.until(lambda: world.running(DEALERS) == 12, 30)
+    world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     with patch.object(Versions, "reads", lambda self, member, version: version < 4):
         world.array(REGISTRY, 400, LONG_S)
         world.run(30.0)
-    assert world.running(DEALERS) == 12
+    assert world.running_tasks(DEALERS) == 12
     world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
 
 
@@ -162,7 +162,9 @@
     world = recorded(machine_zones="ab")
     world.array(REGISTRY, 100, LONG_S, zone="a")
     world.array(DEALERS, 100, LONG_S, zone="b")
-    world.until(lambda: world.running(REGISTRY) == 6 and world.running(DEALERS) == 6, 60)
+    world.until(
+        lambda: world.running_tasks(REGISTRY) == 6 and world.running_tasks(DEALERS) == 6, 60
+    )
     world.assert_rules_hold()
 
 
@@ -180,7 +182,7 @@
             m for n in world.nodes.values() if n is not None for m in n.fleet.machines.values()
         ]
         most = max(most, sum(closed(world, machine) for machine in owned))
-    assert world.running(REGISTRY) == 2 + 1, "the small need is met beside the large one"
+    assert world.running_tasks(REGISTRY) == 2 + 1, "the small need is met beside the large one"
     assert most <= 2, "one for the need, at each of two owners"
     world.assert_rules_hold()
 
@@ -188,7 +190,7 @@
 def test_operators_see_how_the_organisations_fare() -> None:
     world = recorded()
     world.replicas(DEALERS, 10)
-    world.until(lambda: world.running(DEALERS, service=True) == 10, 30)
+    world.until(lambda: world.running_tasks(DEALERS, service=True) == 10, 30)
     world.array(REGISTRY, 400, LONG_S)
     world.run(10.0)
     leader = world.leader()
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -75,7 +75,7 @@
 def test_a_cut_lands_while_an_array_is_half_placed(members: tuple[str, ...]) -> None:
     world = recorded(members)
     world.array(DEALERS, 24, 6.0)
-    world.until(lambda: 4 <= world.running(DEALERS) < 24, 20)
+    world.until(lambda: 4 <= world.running_tasks(DEALERS) < 24, 20)
     world.array(REGISTRY, 200)
     raised(world)
     reached(world)
@@ -108,14 +108,14 @@
 def test_long_tasks_hold_what_was_cut_until_they_end(members: tuple[str, ...]) -> None:
     world = recorded(members)
     world.array(DEALERS, 12, 100.0)
-    world.until(lambda: world.running(DEALERS) == 12, 30)
+    world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     begun = world.now
     world.array(DEALERS, 100)
     world.array(REGISTRY, 400)
     raised(world)
     while world.now < begun + 80.0:
         world.run(5.0)
-        assert world.running(DEALERS) == 12, "nothing is killed"
+        assert world.running_tasks(DEALERS) == 12, "nothing is killed"
     status = world.leader().entitlements.status()
     registry = status["organisations"][1]
     assert not status["converged"] and registry["lacking"] == 36.0
@@ -131,12 +131,12 @@
 def test_replicas_above_a_cut_target_stay_up(members: tuple[str, ...]) -> None:
     world = recorded(members)
     world.replicas(DEALERS, 8)
-    world.until(lambda: world.running(DEALERS, service=True) == 8, 30)
+    world.until(lambda: world.running_tasks(DEALERS, service=True) == 8, 30)
     world.array(REGISTRY, 400)
     raised(world)
     for _ in range(20):
         world.run(4.0)
-        assert world.running(DEALERS, service=True) == 8
+        assert world.running_tasks(DEALERS, service=True) == 8
     assert not restarted(world) & {t for _, t, _ in world.starts if world.specs[t.job].service}
     assert world.holdings()[REGISTRY] == 4, "all that no replica holds"
     dealers = world.leader().entitlements.status()["organisations"][0]
@@ -154,7 +154,9 @@
         world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
         world.array(REGISTRY, 400)
         world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
-        world.until(lambda: not world.running(REGISTRY) and not world.running(DEALERS), 400)
+        world.until(
+            lambda: not world.running_tasks(REGISTRY) and not world.running_tasks(DEALERS), 400
+        )
     world.assert_rules_hold()
 
 
@@ -163,15 +165,15 @@
     world = recorded(members)
     world.replicas(DEALERS, 2)
     world.array(DEALERS, 10, LONG_S, rank=3)
-    world.until(lambda: world.running(DEALERS) == 10, 30)
+    world.until(lambda: world.running_tasks(DEALERS) == 10, 30)
     world.array(DEALERS, 40, LONG_S, rank=2)  # waits here: it has no claim on what is owed
     world.array(REGISTRY, 400, LONG_S, rank=1)
     world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
     for _ in range(20):
         world.run(3.0)
         assert world.holdings_near(dealers=6, registry=6)
-        assert world.running(DEALERS, service=True) == 2
-    assert world.running(DEALERS) >= 3, "no more is stopped than is owed"
+        assert world.running_tasks(DEALERS, service=True) == 2
+    assert world.running_tasks(DEALERS) >= 3, "no more is stopped than is owed"
     world.assert_rules_hold()
 
 
@@ -199,7 +201,7 @@
         before = world.holdings()[REGISTRY]
         world.run(2.0)
         moved += abs(world.holdings()[REGISTRY] - before)
-    assert world.running(REGISTRY) == 4, "its other work gets what it can use"
+    assert world.running_tasks(REGISTRY) == 4, "its other work gets what it can use"
     assert world.holdings()[REGISTRY] <= 5 and moved <= 8, "and nothing goes back and forth"
     world.assert_rules_hold()
 
@@ -345,7 +347,7 @@
 def test_a_machine_that_did_not_fall_empty_takes_work_again() -> None:
     world = recorded(machines=4)
     world.array(DEALERS, 4, LONG_S, cpus=3.0)
-    world.until(lambda: world.running(DEALERS) == 4, 20)
+    world.until(lambda: world.running_tasks(DEALERS) == 4, 20)
     assert world.holdings()[DEALERS] == 4
     world.array(REGISTRY, 400, LONG_S)
     raised(world)
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -111,7 +111,7 @@
     def first_live_member(self) -> str:
         return next(m for m in self.members if self.nodes[m] is not None)
 
-    def running(self, organisation: str, service: bool = False) -> int:
+    def running_tasks(self, organisation: str, service: bool = False) -> int:
         return sum(
             1
             for task, _ in self.on_machines()
