--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -114,7 +114,7 @@
 def test_ten_divisions_in_a_minute_end_with_the_last(members: tuple[str, ...]) -> None:
     world = recorded(members)
     for organisation in (DEALERS, REGISTRY):
-        world.array(organisation, 400)
+        world.submit_array(organisation, 400)
     for n in range(10):
         weights = RAISED if n % 2 else LOWERED
         accepted(world.apply(weights, n, members[n % len(members)]))
@@ -162,7 +162,7 @@
 def test_a_preview_tells_the_leaders_targets_and_stores_nothing() -> None:
     world = recorded()
     for organisation in (DEALERS, REGISTRY):
-        world.array(organisation, 400)
+        world.submit_array(organisation, 400)
     world.run(5.0)
     answer = world.request(world.leader().context.me, "preview", limits=limits(RAISED))
     assert answer is not None and answer.targets == {DEALERS: 12.0, REGISTRY: 36.0}
@@ -183,8 +183,8 @@
     assert "rc/division" not in world.state.data
     node = world.nodes["n0"]
     assert node is not None and node.entitlements.status()["problem"] == reason
-    world.array(DEALERS, 40)
-    world.array(REGISTRY, 40)
+    world.submit_array(DEALERS, 40)
+    world.submit_array(REGISTRY, 40)
     world.run(30.0)
     world.assert_rules_hold()
     assert world.finished, "it serves"
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -128,10 +128,10 @@
 def test_no_more_work_is_stopped_while_what_was_stopped_for_is_coming() -> None:
     world = recorded()
     marks = {"checkpoint_s": 5.0, "save_s": 8.0}
-    world.array(DEALERS, 12, LONG_S, rank=3, **marks)
+    world.submit_array(DEALERS, 12, LONG_S, rank=3, **marks)
     world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     world.run(6.0)
-    world.array(REGISTRY, 400, LONG_S)
+    world.submit_array(REGISTRY, 400, LONG_S)
     stopped = set()
     for _ in range(300):
         with patch.object(Entitlements, "reassignments", lambda self, now: ()):
@@ -149,10 +149,10 @@
 
 def test_an_owner_of_a_former_version_is_not_asked_to_stop_work_for_others() -> None:
     world = recorded()
-    world.array(DEALERS, 12, LONG_S, rank=3)
+    world.submit_array(DEALERS, 12, LONG_S, rank=3)
     world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     with patch.object(Versions, "reads", lambda self, member, version: version < 4):
-        world.array(REGISTRY, 400, LONG_S)
+        world.submit_array(REGISTRY, 400, LONG_S)
         world.run(30.0)
     assert world.running_tasks(DEALERS) == 12
     world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
@@ -160,8 +160,8 @@
 
 def test_what_its_holder_has_no_use_for_is_lent_though_work_waits_there() -> None:
     world = recorded(machine_zones="ab")
-    world.array(REGISTRY, 100, LONG_S, zone="a")
-    world.array(DEALERS, 100, LONG_S, zone="b")
+    world.submit_array(REGISTRY, 100, LONG_S, zone="a")
+    world.submit_array(DEALERS, 100, LONG_S, zone="b")
     world.until(
         lambda: world.running_tasks(REGISTRY) == 6 and world.running_tasks(DEALERS) == 6, 60
     )
@@ -170,8 +170,8 @@
 
 def test_owners_are_told_of_each_need_in_its_turn_and_of_no_more_than_it_is() -> None:
     world = recorded(machine_zones="abbbbb")
-    world.array(REGISTRY, 100, LONG_S, zone="a")
-    world.array(DEALERS, 400, zone="b")
+    world.submit_array(REGISTRY, 100, LONG_S, zone="a")
+    world.submit_array(DEALERS, 400, zone="b")
     world.until(lambda: world.holdings()[DEALERS] == 10, MINUTE_S)
     one = spec("j-900000", tasks=1, team="team-2", zone="b", cpus=4.0, estimate_s=LONG_S)
     world.submit(one)
@@ -191,7 +191,7 @@
     world = recorded()
     world.replicas(DEALERS, 10)
     world.until(lambda: world.running_tasks(DEALERS, service=True) == 10, 30)
-    world.array(REGISTRY, 400, LONG_S)
+    world.submit_array(REGISTRY, 400, LONG_S)
     world.run(10.0)
     leader = world.leader()
     rows = status_of(leader)["entitlements"]["organisations"]
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -74,9 +74,9 @@
 @BOTH
 def test_a_cut_lands_while_an_array_is_half_placed(members: tuple[str, ...]) -> None:
     world = recorded(members)
-    world.array(DEALERS, 24, 6.0)
+    world.submit_array(DEALERS, 24, 6.0)
     world.until(lambda: 4 <= world.running_tasks(DEALERS) < 24, 20)
-    world.array(REGISTRY, 200)
+    world.submit_array(REGISTRY, 200)
     raised(world)
     reached(world)
     placed = {task for task in restarted(world) if task.job <= "j-000002"}
@@ -95,7 +95,7 @@
         spec(uid, tasks=2, team="team-0", gang=True, together=False, cpus=4.0, estimate_s=20.0)
     )
     world.until(lambda: len(machines_of(world, uid)) >= 1, 30)
-    world.array(REGISTRY, 200)
+    world.submit_array(REGISTRY, 200)
     raised(world)
     world.until(lambda: any(job == uid for _, job, _ in world.gang_runs), 30)
     reached(world)
@@ -107,11 +107,11 @@
 @BOTH
 def test_long_tasks_hold_what_was_cut_until_they_end(members: tuple[str, ...]) -> None:
     world = recorded(members)
-    world.array(DEALERS, 12, 100.0)
+    world.submit_array(DEALERS, 12, 100.0)
     world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     begun = world.now
-    world.array(DEALERS, 100)
-    world.array(REGISTRY, 400)
+    world.submit_array(DEALERS, 100)
+    world.submit_array(REGISTRY, 400)
     raised(world)
     while world.now < begun + 80.0:
         world.run(5.0)
@@ -132,7 +132,7 @@
     world = recorded(members)
     world.replicas(DEALERS, 8)
     world.until(lambda: world.running_tasks(DEALERS, service=True) == 8, 30)
-    world.array(REGISTRY, 400)
+    world.submit_array(REGISTRY, 400)
     raised(world)
     for _ in range(20):
         world.run(4.0)
@@ -150,9 +150,9 @@
 ) -> None:
     world = recorded(members)
     for _ in range(2):
-        world.array(DEALERS, 120)
+        world.submit_array(DEALERS, 120)
         world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
-        world.array(REGISTRY, 400)
+        world.submit_array(REGISTRY, 400)
         world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
         world.until(
             lambda: not world.running_tasks(REGISTRY) and not world.running_tasks(DEALERS), 400
@@ -164,10 +164,10 @@
 def test_lesser_work_is_stopped_for_what_is_owed_and_no_further(members: tuple[str, ...]) -> None:
     world = recorded(members)
     world.replicas(DEALERS, 2)
-    world.array(DEALERS, 10, LONG_S, rank=3)
+    world.submit_array(DEALERS, 10, LONG_S, rank=3)
     world.until(lambda: world.running_tasks(DEALERS) == 10, 30)
-    world.array(DEALERS, 40, LONG_S, rank=2)  # waits here: it has no claim on what is owed
-    world.array(REGISTRY, 400, LONG_S, rank=1)
+    world.submit_array(DEALERS, 40, LONG_S, rank=2)  # waits here: it has no claim on what is owed
+    world.submit_array(REGISTRY, 400, LONG_S, rank=1)
     world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
     for _ in range(20):
         world.run(3.0)
@@ -192,10 +192,10 @@
 
 def test_what_fits_no_machine_there_is_takes_none() -> None:
     world = recorded(machine_zones="b")
-    world.array(REGISTRY, 200, zone="a")
-    world.array(DEALERS, 400)
+    world.submit_array(REGISTRY, 200, zone="a")
+    world.submit_array(DEALERS, 400)
     world.until(lambda: world.holdings()[DEALERS] >= 11, MINUTE_S)
-    world.array(REGISTRY, 4, LONG_S)
+    world.submit_array(REGISTRY, 4, LONG_S)
     moved = 0
     for _ in range(30):
         before = world.holdings()[REGISTRY]
@@ -212,9 +212,9 @@
     dealers = msgspec.structs.replace(first.organisations[0], maximum=16.0)
     first = msgspec.structs.replace(first, organisations=(dealers, first.organisations[1]))
     world = recorded(members, first=first)
-    world.array(DEALERS, 200)
+    world.submit_array(DEALERS, 200)
     world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
-    world.array(REGISTRY, 400)
+    world.submit_array(REGISTRY, 400)
     world.until(lambda: world.holdings_near(dealers=4, registry=8), MINUTE_S)
     world.assert_rules_hold()
 
@@ -346,16 +346,16 @@
 
 def test_a_machine_that_did_not_fall_empty_takes_work_again() -> None:
     world = recorded(machines=4)
-    world.array(DEALERS, 4, LONG_S, cpus=3.0)
+    world.submit_array(DEALERS, 4, LONG_S, cpus=3.0)
     world.until(lambda: world.running_tasks(DEALERS) == 4, 20)
     assert world.holdings()[DEALERS] == 4
-    world.array(REGISTRY, 400, LONG_S)
+    world.submit_array(REGISTRY, 400, LONG_S)
     raised(world)
     dealers = [n for n in world.nodes.values() if n is not None and not _serves(n, REGISTRY)]
     machines = [m for node in dealers for m in node.fleet.machines.values()]
     world.until(lambda: sum(m.draining_until > world.now for m in machines) >= 2, 20)
     waiting = world.now
-    world.array(DEALERS, 4, 1.0, cpus=1.0)
+    world.submit_array(DEALERS, 4, 1.0, cpus=1.0)
     world.until(lambda: len(world.finished) == 4, waiting + 90.0 - world.now)
     world.assert_rules_hold()
 
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -93,7 +93,9 @@
 
     # --- work ------------------------------------------------------------------------
 
-    def array(self, organisation: str, tasks: int, estimate_s: float = 3.0, **changes: Any) -> str:
+    def submit_array(
+        self, organisation: str, tasks: int, estimate_s: float = 3.0, **changes: Any
+    ) -> str:
         """Waiting work of the organisation: a machine for each task, one job for each team."""
         uid = ""
         for team in TEAMS[organisation]:
@@ -106,7 +108,7 @@
         return uid
 
     def replicas(self, organisation: str, tasks: int) -> str:
-        return self.array(organisation, tasks, 0.0, service=True, rank=0)
+        return self.submit_array(organisation, tasks, 0.0, service=True, rank=0)
 
     def first_live_member(self) -> str:
         return next(m for m in self.members if self.nodes[m] is not None)
@@ -193,7 +195,7 @@
     """Both organisations ask for far more than there is; the pool is divided evenly."""
     world = recorded(members, **changes)
     for organisation in TEAMS:
-        world.array(organisation, 400, estimate_s)
+        world.submit_array(organisation, 400, estimate_s)
     half = len(world.workers) // 2
     world.until(lambda: world.holdings_near(dealers=half, registry=half), MINUTE_S)
     return world
