--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -189,7 +189,7 @@
 
 def test_operators_see_how_the_organisations_fare() -> None:
     world = recorded()
-    world.replicas(DEALERS, 10)
+    world.submit_replicas(DEALERS, 10)
     world.until(lambda: world.running_tasks(DEALERS, service=True) == 10, 30)
     world.submit_array(REGISTRY, 400, LONG_S)
     world.run(10.0)
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -130,7 +130,7 @@
 @BOTH
 def test_replicas_above_a_cut_target_stay_up(members: tuple[str, ...]) -> None:
     world = recorded(members)
-    world.replicas(DEALERS, 8)
+    world.submit_replicas(DEALERS, 8)
     world.until(lambda: world.running_tasks(DEALERS, service=True) == 8, 30)
     world.submit_array(REGISTRY, 400)
     raised(world)
@@ -163,7 +163,7 @@
 @BOTH
 def test_lesser_work_is_stopped_for_what_is_owed_and_no_further(members: tuple[str, ...]) -> None:
     world = recorded(members)
-    world.replicas(DEALERS, 2)
+    world.submit_replicas(DEALERS, 2)
     world.submit_array(DEALERS, 10, LONG_S, rank=3)
     world.until(lambda: world.running_tasks(DEALERS) == 10, 30)
     world.submit_array(DEALERS, 40, LONG_S, rank=2)  # waits here: it has no claim on what is owed
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -107,7 +107,7 @@
             )
         return uid
 
-    def replicas(self, organisation: str, tasks: int) -> str:
+    def submit_replicas(self, organisation: str, tasks: int) -> str:
         return self.submit_array(organisation, tasks, 0.0, service=True, rank=0)
 
     def first_live_member(self) -> str:
