--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -184,7 +184,7 @@
     world.run(10.0)
     assert world.holdings_near(dealers=6, registry=6), "long tasks run on"
     world.capacity += 12
-    world.until(lambda: len(world.checker.recorded()) == 24, 120)
+    world.until(lambda: len(world.checker.recorded_machines()) == 24, 120)
     world.run(5.0)
     assert world.holdings_near(dealers=6, registry=18)
     world.assert_rules_hold()
@@ -315,7 +315,7 @@
     if how == "taken":
         world.workers.pop(str(machine.id))
     world.state_delay_s = 0.0
-    world.until(lambda: str(machine.id) not in world.checker.recorded(), 90)
+    world.until(lambda: str(machine.id) not in world.checker.recorded_machines(), 90)
     world.until(lambda: world.holdings_near(dealers=3, registry=9), MINUTE_S)
     world.assert_rules_hold()
 
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -56,14 +56,14 @@
         for id, members in counted.items():
             if len(members) > 1:
                 self.counted_twice.append(f"{self.world.now:.2f}: {id} by {', '.join(members)}")
-        for id in self.recorded():
+        for id in self.recorded_machines():
             if id in counted:
                 self.alone_since.pop(id, None)
             else:
                 since = self.alone_since.setdefault(id, self.world.now)
                 self.longest_uncounted_s = max(self.longest_uncounted_s, self.world.now - since)
 
-    def recorded(self) -> list[str]:
+    def recorded_machines(self) -> list[str]:
         return [
             key.rpartition("/")[2]
             for key, (value, _, _) in self.world.state.data.items()
@@ -184,7 +184,7 @@
 def recorded(members: tuple[str, ...] = MEMBERS, **changes: Any) -> PoolWorld:
     """Nothing runs; every machine is on record, and divisions may be stored."""
     world = PoolWorld(members, **changes)
-    world.until(lambda: len(world.checker.recorded()) == len(world.workers), 20)
+    world.until(lambda: len(world.checker.recorded_machines()) == len(world.workers), 20)
     world.until(lambda: "rc/format" in world.state.data, 20)
     return world
 
