--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -9,7 +9,7 @@
 from failing_parts import BOTH
 from mixed_versions import back, earlier_history, mixed
 from world import World
-from world_pool import DEALERS, REGISTRY, PoolWorld, contended, limits, recorded, settings
+from world_pool import DEALERS, REGISTRY, PoolWorld, contended, limits, recorded_pool, settings
 
 from runcourse.core import types as t
 from runcourse.core.stored_values import MappingValue, OrganisationLimits
@@ -34,7 +34,7 @@
 def test_of_two_at_once_one_is_stored_and_the_other_told_both_versions(
     members: tuple[str, ...],
 ) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     answers: list[t.DivisionAnswer] = []
     for member, weights in (("n0", RAISED), ("n1", LOWERED)):
         event = t.DivisionRequest(0, "apply", 0, limits(weights), member, "urgent")
@@ -51,7 +51,7 @@
 
 @BOTH
 def test_a_rollback_crosses_an_apply(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     assert accepted(world.apply(RAISED, 0)) == 1
     answers: list[t.DivisionAnswer] = []
     for event in (
@@ -65,7 +65,7 @@
 
 
 def test_a_rollback_restores_what_was_before_and_may_be_repeated() -> None:
-    world = recorded()
+    world = recorded_pool()
     assert "no former division" in refused(world.request("n0", "rollback", expect=0, author="x"))
     accepted(world.apply(RAISED, 0))
     for _ in range(2):
@@ -83,7 +83,7 @@
 def test_an_apply_whose_answer_is_lost_is_settled_by_asking_again(
     members: tuple[str, ...],
 ) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.lost_answers = 1.0
     answer = world.apply(RAISED, 0)
     assert answer is not None and answer.result == "unknown" and "ask again" in answer.reason
@@ -96,7 +96,7 @@
 
 
 def test_a_late_apply_loses_against_what_was_stored_meanwhile() -> None:
-    world = recorded()
+    world = recorded_pool()
     world.late_writes = 1.0
     answer = world.apply(RAISED, 0)
     assert answer is not None and answer.result == "unknown"
@@ -112,7 +112,7 @@
 
 @BOTH
 def test_ten_divisions_in_a_minute_end_with_the_last(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     for organisation in (DEALERS, REGISTRY):
         world.submit_array(organisation, 400)
     for n in range(10):
@@ -126,7 +126,7 @@
 
 @BOTH
 def test_in_an_outage_nothing_is_promised(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.state.outage(True)
     answer = world.apply(RAISED, 0)
     assert answer is None or answer.result in ("unreachable", "unknown")
@@ -146,21 +146,21 @@
     ],
 )
 def test_a_faulty_division_is_refused_whole(entries: list[Any], reason: str) -> None:
-    world = recorded()
+    world = recorded_pool()
     assert reason in refused(world.request("n1", "apply", expect=0, limits=entries))
     assert reason in refused(world.request("n1", "preview", limits=entries))
     assert "rc/division" not in world.state.data
 
 
 def test_what_a_smaller_state_service_cannot_hold_is_refused() -> None:
-    world = recorded()
+    world = recorded_pool()
     note = "x" * world.nodes["n0"].context.limits.value_bytes  # type: ignore[union-attr]
     assert "more than a stored value" in refused(world.apply(RAISED, 0, note=note))
     assert "rc/division" not in world.state.data
 
 
 def test_a_preview_tells_the_leaders_targets_and_stores_nothing() -> None:
-    world = recorded()
+    world = recorded_pool()
     for organisation in (DEALERS, REGISTRY):
         world.submit_array(organisation, 400)
     world.run(5.0)
@@ -191,7 +191,7 @@
 
 
 def test_a_file_that_names_others_than_the_division_is_not_in_force() -> None:
-    world = recorded()
+    world = recorded_pool()
     accepted(world.apply(RAISED, 0))
     first = settings()
     renamed = tuple(msgspec.structs.replace(o, name=o.name + "-new") for o in first.organisations)
@@ -269,7 +269,7 @@
 
 
 def test_the_dealing_is_read_by_every_version_alike() -> None:
-    world = recorded()
+    world = recorded_pool()
     stored = msgspec.convert(world.state.data["rc/mapping"][0], MappingValue)
     shares = {name: n % 3 for n, name in enumerate(stored.dealt) if name}
     node = world.nodes["n0"]
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -6,7 +6,7 @@
 
 from failing_parts import owner_of
 from world import spec
-from world_pool import DEALERS, LONG_S, MINUTE_S, REGISTRY, PoolWorld, recorded
+from world_pool import DEALERS, LONG_S, MINUTE_S, REGISTRY, PoolWorld, recorded_pool
 
 from runcourse.core.leader.transfers import CLAIM_TIMEOUT_S, VACATE_TIMEOUT_S, YIELD_TIMEOUT_S
 from runcourse.core.machine import Machine
@@ -23,7 +23,7 @@
 
 def one_machine() -> tuple[PoolWorld, Node, Machine]:
     """The first machine of a world in which nothing waits, and its owner."""
-    world = recorded(machines=3)
+    world = recorded_pool(machines=3)
     world.run(3.0)
     owner, machine = owner_of(world, next(iter(world.workers)))
     return world, owner, machine
@@ -126,7 +126,7 @@
 
 
 def test_no_more_work_is_stopped_while_what_was_stopped_for_is_coming() -> None:
-    world = recorded()
+    world = recorded_pool()
     marks = {"checkpoint_s": 5.0, "save_s": 8.0}
     world.submit_array(DEALERS, 12, LONG_S, rank=3, **marks)
     world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
@@ -148,7 +148,7 @@
 
 
 def test_an_owner_of_a_former_version_is_not_asked_to_stop_work_for_others() -> None:
-    world = recorded()
+    world = recorded_pool()
     world.submit_array(DEALERS, 12, LONG_S, rank=3)
     world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     with patch.object(Versions, "reads", lambda self, member, version: version < 4):
@@ -159,7 +159,7 @@
 
 
 def test_what_its_holder_has_no_use_for_is_lent_though_work_waits_there() -> None:
-    world = recorded(machine_zones="ab")
+    world = recorded_pool(machine_zones="ab")
     world.submit_array(REGISTRY, 100, LONG_S, zone="a")
     world.submit_array(DEALERS, 100, LONG_S, zone="b")
     world.until(
@@ -169,7 +169,7 @@
 
 
 def test_owners_are_told_of_each_need_in_its_turn_and_of_no_more_than_it_is() -> None:
-    world = recorded(machine_zones="abbbbb")
+    world = recorded_pool(machine_zones="abbbbb")
     world.submit_array(REGISTRY, 100, LONG_S, zone="a")
     world.submit_array(DEALERS, 400, zone="b")
     world.until(lambda: world.holdings()[DEALERS] == 10, MINUTE_S)
@@ -188,7 +188,7 @@
 
 
 def test_operators_see_how_the_organisations_fare() -> None:
-    world = recorded()
+    world = recorded_pool()
     world.submit_replicas(DEALERS, 10)
     world.until(lambda: world.running_tasks(DEALERS, service=True) == 10, 30)
     world.submit_array(REGISTRY, 400, LONG_S)
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -10,7 +10,16 @@
 from failing_parts import BOTH, owner_of
 from gang_stories import machines_of
 from world import LEASE_S, MEMBERS, World, spec
-from world_pool import DEALERS, LONG_S, MINUTE_S, REGISTRY, PoolWorld, contended, recorded, settings
+from world_pool import (
+    DEALERS,
+    LONG_S,
+    MINUTE_S,
+    REGISTRY,
+    PoolWorld,
+    contended,
+    recorded_pool,
+    settings,
+)
 
 from runcourse.core.ids import ABSENT
 from runcourse.core.leader import transfers
@@ -73,7 +82,7 @@
 
 @BOTH
 def test_a_cut_lands_while_an_array_is_half_placed(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.submit_array(DEALERS, 24, 6.0)
     world.until(lambda: 4 <= world.running_tasks(DEALERS) < 24, 20)
     world.submit_array(REGISTRY, 200)
@@ -88,7 +97,7 @@
 
 @BOTH
 def test_a_cut_lands_while_a_gang_waits_for_its_last_member(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.fetch_s = 3.0
     uid = "j-000900"
     world.submit(
@@ -106,7 +115,7 @@
 
 @BOTH
 def test_long_tasks_hold_what_was_cut_until_they_end(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.submit_array(DEALERS, 12, 100.0)
     world.until(lambda: world.running_tasks(DEALERS) == 12, 30)
     begun = world.now
@@ -129,7 +138,7 @@
 
 @BOTH
 def test_replicas_above_a_cut_target_stay_up(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.submit_replicas(DEALERS, 8)
     world.until(lambda: world.running_tasks(DEALERS, service=True) == 8, 30)
     world.submit_array(REGISTRY, 400)
@@ -148,7 +157,7 @@
 def test_an_organisation_asks_for_nothing_and_then_for_everything(
     members: tuple[str, ...],
 ) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     for _ in range(2):
         world.submit_array(DEALERS, 120)
         world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
@@ -162,7 +171,7 @@
 
 @BOTH
 def test_lesser_work_is_stopped_for_what_is_owed_and_no_further(members: tuple[str, ...]) -> None:
-    world = recorded(members)
+    world = recorded_pool(members)
     world.submit_replicas(DEALERS, 2)
     world.submit_array(DEALERS, 10, LONG_S, rank=3)
     world.until(lambda: world.running_tasks(DEALERS) == 10, 30)
@@ -191,7 +200,7 @@
 
 
 def test_what_fits_no_machine_there_is_takes_none() -> None:
-    world = recorded(machine_zones="b")
+    world = recorded_pool(machine_zones="b")
     world.submit_array(REGISTRY, 200, zone="a")
     world.submit_array(DEALERS, 400)
     world.until(lambda: world.holdings()[DEALERS] >= 11, MINUTE_S)
@@ -211,7 +220,7 @@
     first = settings()
     dealers = msgspec.structs.replace(first.organisations[0], maximum=16.0)
     first = msgspec.structs.replace(first, organisations=(dealers, first.organisations[1]))
-    world = recorded(members, first=first)
+    world = recorded_pool(members, first=first)
     world.submit_array(DEALERS, 200)
     world.until(lambda: world.holdings()[DEALERS] == 12, MINUTE_S)
     world.submit_array(REGISTRY, 400)
@@ -345,7 +354,7 @@
 
 
 def test_a_machine_that_did_not_fall_empty_takes_work_again() -> None:
-    world = recorded(machines=4)
+    world = recorded_pool(machines=4)
     world.submit_array(DEALERS, 4, LONG_S, cpus=3.0)
     world.until(lambda: world.running_tasks(DEALERS) == 4, 20)
     assert world.holdings()[DEALERS] == 4
@@ -369,7 +378,7 @@
 
 def _passed_on(seed: int) -> PoolWorld:
     """A transfer is carried out late, after its repetition, when the machine has gone on."""
-    world = recorded(seed=seed, machines=3)
+    world = recorded_pool(seed=seed, machines=3)
     world.run(3.0)
     owner, machine = owner_of(world, next(iter(world.workers)))
     first, second = [s for s in owner.shares.all() if s != machine.share.number]
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -181,7 +181,7 @@
     return [OrganisationLimits(name, 0.0, weight) for name, weight in weights.items()]
 
 
-def recorded(members: tuple[str, ...] = MEMBERS, **changes: Any) -> PoolWorld:
+def recorded_pool(members: tuple[str, ...] = MEMBERS, **changes: Any) -> PoolWorld:
     """Nothing runs; every machine is on record, and divisions may be stored."""
     world = PoolWorld(members, **changes)
     world.until(lambda: len(world.checker.recorded_machines()) == len(world.workers), 20)
@@ -193,7 +193,7 @@
     members: tuple[str, ...] = MEMBERS, estimate_s: float = 3.0, **changes: Any
 ) -> PoolWorld:
     """Both organisations ask for far more than there is; the pool is divided evenly."""
-    world = recorded(members, **changes)
+    world = recorded_pool(members, **changes)
     for organisation in TEAMS:
         world.submit_array(organisation, 400, estimate_s)
     half = len(world.workers) // 2
