--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -9,7 +9,7 @@
 from failing_parts import BOTH
 from mixed_versions import back, earlier_history, mixed
 from world import World
-from world_pool import DEALERS, REGISTRY, PoolWorld, contended, limits, recorded_pool, settings
+from world_pool import DEALERS, REGISTRY, PoolWorld, contended_pool, limits, recorded_pool, settings
 
 from runcourse.core import types as t
 from runcourse.core.stored_values import MappingValue, OrganisationLimits
@@ -226,7 +226,7 @@
 def test_a_member_of_the_version_in_production_comes_back_in_the_middle(
     members: tuple[str, ...],
 ) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     accepted(world.apply(RAISED, 0, "n1"))
     world.production_members.add("n0")
     back(world, "n0", 1.0, new=False)
@@ -249,7 +249,7 @@
 def test_a_member_of_the_version_before_comes_back_in_the_middle(
     members: tuple[str, ...],
 ) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     accepted(world.apply(RAISED, 0, "n1"))
     for member in members:
         world.pre_division_members.add(member)
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -16,7 +16,7 @@
     MINUTE_S,
     REGISTRY,
     PoolWorld,
-    contended,
+    contended_pool,
     recorded_pool,
     settings,
 )
@@ -188,7 +188,7 @@
 
 @BOTH
 def test_new_machines_go_first_to_who_is_short(members: tuple[str, ...]) -> None:
-    world = contended(members, estimate_s=LONG_S)
+    world = contended_pool(members, estimate_s=LONG_S)
     raised(world)
     world.run(10.0)
     assert world.holdings_near(dealers=6, registry=6), "long tasks run on"
@@ -234,7 +234,7 @@
 @BOTH
 @pytest.mark.parametrize("phase", ["before", "asked", "first", "half", "last"])
 def test_the_leader_changes_in_every_phase(members: tuple[str, ...], phase: str) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     leader = world.leader().context.me
     if phase != "before":
         raised(world)
@@ -255,7 +255,7 @@
 
 @BOTH
 def test_a_cut_lands_during_a_takeover(members: tuple[str, ...]) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     giver = next(s for s in range(len(members)) if world.organisation_of_share(s) == DEALERS)
     owner = world.state.data[f"rc/share/{giver}"][0]["owner"]
     world.crash(owner)
@@ -270,7 +270,7 @@
 @BOTH
 @pytest.mark.parametrize("seconds", [3.0, 15.0])
 def test_a_cut_is_followed_by_an_outage(members: tuple[str, ...], seconds: float) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     raised(world)
     world.run(1.0)
     world.state.outage(True)
@@ -282,7 +282,7 @@
 @BOTH
 def test_changes_arrive_late_and_answers_are_lost(members: tuple[str, ...]) -> None:
     for seed in range(3):
-        world = contended(members, seed=seed)
+        world = contended_pool(members, seed=seed)
         raised(world)
         world.late_writes, world.lost_answers, world.duplicate_rate = 0.3, 0.3, 0.2
         for n in range(6):
@@ -299,7 +299,7 @@
 
 @BOTH
 def test_two_controllers_claim_one_freed_machine(members: tuple[str, ...]) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     world.run(2.0)
     for worker in list(world.workers.values()):
         owner, machine = owner_of(world, worker.id)
@@ -316,7 +316,7 @@
 @BOTH
 @pytest.mark.parametrize("how", ["dies", "taken"])
 def test_a_machine_is_lost_while_it_is_handed_over(members: tuple[str, ...], how: str) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     world.state_delay_s = 0.5
     raised(world)
     _, machine = handed_over(world)
@@ -331,7 +331,7 @@
 
 @BOTH
 def test_a_cut_lands_while_a_machine_is_handed_over(members: tuple[str, ...]) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     world.state_delay_s = 0.5
     raised(world)
     handed_over(world)
@@ -344,7 +344,7 @@
 
 @BOTH
 def test_the_owner_ends_while_it_hands_a_machine_over(members: tuple[str, ...]) -> None:
-    world = contended(members)
+    world = contended_pool(members)
     world.state_delay_s = 0.5
     raised(world)
     owner, _ = handed_over(world)
@@ -404,7 +404,7 @@
 
 def _stirred(seed: int) -> PoolWorld:
     """Machines go to and fro while answers are late and controllers pause."""
-    world = contended(MEMBERS, seed=seed)
+    world = contended_pool(MEMBERS, seed=seed)
     world.late_writes = 0.5
     for n in range(12):
         world.apply(RAISED if n % 2 else {DEALERS: 3.0, REGISTRY: 1.0}, world.version())
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -189,7 +189,7 @@
     return world
 
 
-def contended(
+def contended_pool(
     members: tuple[str, ...] = MEMBERS, estimate_s: float = 3.0, **changes: Any
 ) -> PoolWorld:
     """Both organisations ask for far more than there is; the pool is divided evenly."""
