--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -184,7 +184,7 @@
     def crash(self) -> None:
         self._away(self.member, 1.0 + self.pick % 6)
 
-    def blink(self) -> None:
+    def restart_without_state(self) -> None:
         self._away(self.member, 0.1)
 
     def crash_all(self) -> None:
@@ -271,7 +271,7 @@
 
     def blink_machine(self) -> None:
         if self.worker is not None:
-            self.worker.blink()
+            self.worker.restart_without_state()
 
     def _one_way(self, which: set[str], every: bool, seconds: float) -> None:
         ids = {w.id for n, w in enumerate(self.workers) if every or n == self.pick % 5}
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -172,7 +172,7 @@
     # A lease ends, so that there is a new session, and a machine is back without memory.
     ids = sorted(world.workers)
     world.outbound_cut.add(ids[0])
-    world.workers[ids[1]].blink()
+    world.workers[ids[1]].restart_without_state()
     world.run(LEASE_S + 3.0)
     world.outbound_cut.clear()
     for n in range(4):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -60,7 +60,7 @@
     world.after(16.0, lambda: world.cut_links.difference_update(held))
     world.after(16.1, world.deliver_held)
     for worker in workers[36:48]:
-        worker.blink()
+        worker.restart_without_state()
     for member in FIVE[:2]:
         world.crash(member)
         world.after(0.2 if member == "n0" else 7.0, lambda m=member: world.start(m))  # type: ignore[misc]
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -96,7 +96,7 @@
         victim.hung = True
         world.after(4.0, lambda: setattr(victim, "hung", False))
     elif how == "blink":
-        victim.blink()
+        victim.restart_without_state()
     elif how == "mute":
         world.outbound_cut.add(victim.id)
     elif how == "deaf":
@@ -274,7 +274,7 @@
     seen = capture(world)
     world.run(3.0)
     old = [(m, r) for m, r in seen if any(e.task.job == UID for e in r.tasks)]
-    machines_of(world)[0].blink()
+    machines_of(world)[0].restart_without_state()
     world.until(lambda: runs(world) == 2, 30)
     assert old
     for member, report in old:
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -98,7 +98,7 @@
     seen = capture(world)
     world.run(3.0)
     member, old = next((m, r) for m, r in reversed(seen) if r.session == 5)
-    worker.blink()
+    worker.restart_without_state()
     world.run(6.0)
     world.submit(spec("j-000500", service=True, tasks=1))
     world.until(lambda: len(world.on_machines()) == 1, 10)
@@ -156,7 +156,7 @@
     world.submit(spec("j-000700", service=True, tasks=1))
     world.until(lambda: len(world.on_machines()) == 1, 10)
     world.run(3.0)
-    worker.blink()
+    worker.restart_without_state()
     assert not world.on_machines()
     world.until(lambda: len(world.on_machines()) == 1, 6)
     assert worker.id in world.workers and not world.violations
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -38,7 +38,7 @@
         members = self.world.members
         self.node = members[(members.index(self.node) + 1) % len(members)]
 
-    def blink(self) -> None:
+    def restart_without_state(self) -> None:
         """The machine is back at once, with a worker that remembers nothing."""
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks.clear()
