--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -174,7 +174,7 @@
     world = World(machines=4)
     world.run(4.0)
     sick = next(iter(world.workers.values()))
-    sick.sick = True
+    sick.fails_tasks = True
     for n in range(4):
         world.submit(spec(f"j-00007{n}", tasks=3, team=f"team-{n}"))
     world.until(lambda: all(world.poll(f"j-00007{n}") == "done" for n in range(4)), 60)
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -109,7 +109,7 @@
     world = World(machines=6, cpus_max=100.0)
     world.run(4.0)
     sick = world.workers["i-000002"]
-    sick.sick = True
+    sick.fails_tasks = True
     for n in range(3):
         world.failing_jobs.add(f"j-00020{n}")
         world.submit(spec(f"j-00020{n}", tasks=4, team=f"team-{n}"))
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -102,7 +102,7 @@
     elif how == "deaf":
         world.inbound_cut.add(victim.id)
     else:
-        victim.sick = True
+        victim.fails_tasks = True
         world.after(1.0, lambda: setattr(victim, "sick", False))
     world.capacity = 16
     world.run(LEASE_S + 4.0)
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -27,7 +27,7 @@
         self.renewed = world.now
         self.alive = True
         self.hung = False
-        self.sick = False
+        self.fails_tasks = False
         self.notice_s: float | None = None
         self.node = world.rng.choice(world.members)
         self.asking = 0
@@ -86,9 +86,9 @@
                 entry[0], entry[2] = "waiting" if job.gang else "running", now
             if job.gang and entry[0] == "waiting" and now - entry[2] > GANG_WAIT_S:
                 entry[0], entry[1] = "ended", "incomplete"
-            if job.gang and not self.sick:
+            if job.gang and not self.fails_tasks:
                 continue  # the rest is seen to for the whole of it
-            if entry[0] == "running" and (self.sick or task.job in self.world.failing_jobs):
+            if entry[0] == "running" and (self.fails_tasks or task.job in self.world.failing_jobs):
                 entry[0], entry[1] = "ended", "error"
             elif entry[0] == "saving" and now - entry[2] >= job.save_s:
                 entry[0], entry[1] = "ended", "stopped"
