--- a/tests/world_state.py
+++ b/tests/world_state.py
@@ -20,7 +20,9 @@
         super().__init__(lambda: world.now)
         self.down = False
         self.refusing: set[str] = set()
-        self.most: tuple[int, int] | None = None  # bytes of a value, changes in a transaction
+        self.size_limits: tuple[int, int] | None = (
+            None  # bytes of a value, changes in a transaction
+        )
         self.too_large: list[str] = []  # keys of changes that were rejected for their size
 
     def outage(self, on: bool) -> None:
@@ -50,9 +52,11 @@
         raise TypeError(effect)
 
     def _commit(self, effect: t.Commit) -> tuple[int, Any]:
-        if self.most is not None and (
-            len(effect.then) > self.most[1]
-            or any(len(json.dumps(v)) > self.most[0] for _, v, _ in effect.then if v is not None)
+        if self.size_limits is not None and (
+            len(effect.then) > self.size_limits[1]
+            or any(
+                len(json.dumps(v)) > self.size_limits[0] for _, v, _ in effect.then if v is not None
+            )
         ):
             self.too_large.append(effect.then[0][0])
             return 400, None
