--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -96,7 +96,7 @@
     world.cut_links.clear()
     world.inbound_cut.clear()
     world.outbound_cut.clear()
-    world.state.refusing.clear()
+    world.state.refused_members.clear()
     if world.state.down:
         world.state.outage(False)
     world.loss_rate = world.late_writes = world.lost_answers = world.duplicate_rate = 0.0
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -226,8 +226,8 @@
             self.world.after(seconds, lambda: self.world.state.outage(False))
 
     def _refuse(self, seconds: float) -> None:
-        self.world.state.refusing.add(self.member)
-        self.world.after(seconds, lambda: self.world.state.refusing.discard(self.member))
+        self.world.state.refused_members.add(self.member)
+        self.world.after(seconds, lambda: self.world.state.refused_members.discard(self.member))
 
     def refuse(self) -> None:
         self._refuse(1.0 + self.pick % 9)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -75,7 +75,7 @@
     before the service is down for all; its workers still report to it."""
     world, owner = running(members)
     taker = next(m for m in members if m != owner)
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     apart(world, owner, taker)
     outage_at_cancellation(world)
     world.cancel(UID, taker)
@@ -89,7 +89,7 @@
 def test_the_storing_node_dies_after_confirming(members: tuple[str, ...]) -> None:
     world, owner = running(members)
     taker = next(m for m in members if m != owner)
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     apart(world, owner, taker)
     assert world.cancel(UID, taker) == "cancelled"
     world.crash(taker)
@@ -126,7 +126,7 @@
 def test_a_knowing_node_restarts_in_the_outage(members: tuple[str, ...]) -> None:
     world, owner = running(members)
     taker, knowing = [m for m in members if m != owner][:2]
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     apart(world, owner, taker)
     assert world.cancel(UID, taker) == "cancelled"
     world.state.outage(True)
@@ -145,7 +145,7 @@
     second = "j-000002"
     world, owner = running(members, UID, second)
     one, two = [m for m in members if m != owner][:2]
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     apart(world, one, *members)
     apart(world, two, *members)
     outage_at_cancellation(world, 2)
@@ -164,7 +164,7 @@
     it, or the job itself. It grants the owner time, and what it knows goes with that."""
     world, owner = running(members)
     taker, knowing = [m for m in members if m != owner][:2]
-    world.state.refusing.update((owner, knowing))
+    world.state.refused_members.update((owner, knowing))
     apart(world, owner, taker)
     assert world.cancel(UID, taker) == "cancelled"
     assert node_of(world, knowing).jobs.cancelled_since(Stamp(10**6)) == [UID]
@@ -212,7 +212,7 @@
     world, owner = running(members)
     taker = next(m for m in members if m != owner)
     asked = node_of(world, owner)
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     apart(world, owner, taker)
     for member in members:
         node = node_of(world, member)
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -155,7 +155,7 @@
     world = busy(members)
     who = leader(world)
     assert who is not None
-    world.state.refusing.add(who)
+    world.state.refused_members.add(who)
     world.after(1.0, lambda: world.state.outage(True))
     world.run(cancel_after)
     for n in range(TEAMS):
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -151,7 +151,7 @@
     if what == "workers":
         pairs += [frozenset((cut, id)) for id in world.workers]
     if what == "refused":
-        world.state.refusing.add(cut)
+        world.state.refused_members.add(cut)
     world.cut_links.update(pairs)
     world.run(14.0)
     other = next(m for m in members if m != cut)
@@ -162,7 +162,7 @@
         health = world._user(cut, t.Health(0))
         assert health is not None and health.status == 503, "users are sent to the others"
     world.cut_links.difference_update(pairs)
-    world.state.refusing.clear()
+    world.state.refused_members.clear()
     world.run(20.0)
     assert len([s for s in world.starts[starts:] if s[1].job != "j-000400"]) == 0, "no lease lost"
     assert set(owners(world).values()) == {1} and not world.violations
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -127,13 +127,13 @@
     for n in range(4):
         world.submit(spec(f"j-00004{n}", service=True, tasks=1, team=f"team-{n}"))
     world.until(lambda: len(world.on_machines()) == 4, 15)
-    world.state.refusing.add("n0")
+    world.state.refused_members.add("n0")
     world.run(10.0)
     node = world.nodes["n0"]
     assert node is not None and not node.authority.entitled()
     other = world.nodes["n1"]
     assert other is not None and all(other.shares.living_owner(s) for s in other.shares.all())
-    world.state.refusing.clear()
+    world.state.refused_members.clear()
     world.run(15.0)
     assert len(world.on_machines()) == 4 and not world.violations
 
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -62,7 +62,7 @@
     owner = owner_of_job(world, "j-000003")
     taker = next(m for m in members if m != owner)
     world.cut_links.add(frozenset((owner, taker)))
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     world.run(0.2)
     assert world.cancel("j-000003", taker) == "cancelled"
     world.run(0.4)
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -252,8 +252,8 @@
         world.cut_links |= pairs
         world.after(25.0, lambda: world.cut_links.difference_update(pairs))
     else:
-        world.state.refusing.add(member)
-        world.after(15.0, lambda: world.state.refusing.discard(member))
+        world.state.refused_members.add(member)
+        world.after(15.0, lambda: world.state.refused_members.discard(member))
     world.run(40.0)
     runs_again(world)
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -63,7 +63,7 @@
         assert not world.violations
         assert not checker.counted_twice
     world.run(12.0)
-    if world.state.down or world.state.refusing:
+    if world.state.down or world.state.refused_members:
         world.run(CANCEL_S)
         assert not world.violations
     world.cut_links.clear()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -133,7 +133,7 @@
         world.run(5.0)
     owner = owner_of_job(world, "j-000011")
     assert owner != taker
-    world.state.refusing.add(owner)
+    world.state.refused_members.add(owner)
     apart(world, owner, taker)
     outage_at_cancellation(world)
     world.cancel("j-000011", taker)
--- a/tests/world_state.py
+++ b/tests/world_state.py
@@ -19,7 +19,7 @@
     def __init__(self, world: World) -> None:
         super().__init__(lambda: world.now)
         self.down = False
-        self.refusing: set[str] = set()
+        self.refused_members: set[str] = set()
         self.size_limits: tuple[int, int] | None = (
             None  # bytes of a value, changes in a transaction
         )
@@ -36,7 +36,7 @@
 
     def serve(self, member: str, effect: Any) -> tuple[int, Any]:
         self.expire()
-        if self.down or member in self.refusing:
+        if self.down or member in self.refused_members:
             return 503, None
         match effect:
             case t.ReadAll():
