--- a/tests/standins.py
+++ b/tests/standins.py
@@ -133,7 +133,7 @@
                     "POST", "/agent/beat", encode(self.report()), 4.0
                 )
                 if status == 200:
-                    self.obey(decode_map(body))
+                    self.execute_orders(decode_map(body))
             except (NotSent, Unanswered):
                 pass
             await asyncio.sleep(0.3)
@@ -144,10 +144,10 @@
         message = decode_map(body)
         if message["baton"] < self.baton or message["tenure"] != 1:
             return reply(409, self.report())
-        self.obey(message)
+        self.execute_orders(message)
         return reply(200, self.report())
 
-    def obey(self, message: dict[str, Any]) -> None:
+    def execute_orders(self, message: dict[str, Any]) -> None:
         if message["baton"] < self.baton:
             return
         self.baton = message["baton"]
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -129,7 +129,7 @@
                 if answer.token >= self.token and self.session == session:
                     self.token = answer.token
                     self.renewed = max(self.renewed, sent)
-                    self.obey(answer.orders)
+                    self.execute_orders(answer.orders)
             elif answer is not None and answer.owner:
                 self.node = answer.owner
             else:
@@ -144,7 +144,7 @@
         self.world.ask(self.id, self.node, t.ReportReceived(0, self.report()), answered)
         self.world.after(4.0, gave_up)
 
-    def obey(self, orders: tuple[t.Order, ...]) -> None:
+    def execute_orders(self, orders: tuple[t.Order, ...]) -> None:
         for order in orders:
             key = (order.task, order.attempt)
             if order.op == "start" and key not in self.tasks:
@@ -182,7 +182,7 @@
         if effect.token < self.token or effect.session != self.session:
             return 409, self.report()
         self.token = effect.token
-        self.obey(effect.orders)
+        self.execute_orders(effect.orders)
         self.step()
         return 200, self.report()
 
--- a/tools/measure_locality.py
+++ b/tools/measure_locality.py
@@ -70,7 +70,7 @@
     truth: Truth
     apis: list[int]
 
-    def obey(self, message: dict[str, Any]) -> None:
+    def execute_orders(self, message: dict[str, Any]) -> None:
         """Carry out the orders of an answer or a command."""
         if message["baton"] < self.baton:
             return
@@ -124,7 +124,7 @@
                 )
                 steward = decode_map(body).get("steward") if body else None
                 if status == 200:
-                    self.obey(decode_map(body))
+                    self.execute_orders(decode_map(body))
                 elif steward is not None:
                     at = int(str(steward).removeprefix("runner-"))
                     continue
--- a/tools/measure_loopback_fleet.py
+++ b/tools/measure_loopback_fleet.py
@@ -106,7 +106,7 @@
         legs = list(self.legs.values())
         return encode({**about, **state, "baton": self.baton, "warning_s": None, "legs": legs})
 
-    def obey(self, message: dict[str, Any]) -> None:
+    def execute_orders(self, message: dict[str, Any]) -> None:
         """Carry out orders."""
         self.baton = max(self.baton, message["baton"])
         for order in message["orders"]:
@@ -146,7 +146,7 @@
                 status, body = 0, {}
             if status == 200 and session == self.session and body["baton"] >= self.baton:
                 self.renewed, self.served = sent, True
-                self.obey(body)
+                self.execute_orders(body)
                 await asyncio.sleep(self.report_s * random.uniform(0.75, 1.25))
             elif status == 421 and body.get("steward"):
                 self.close()
@@ -186,7 +186,7 @@
         message = decode_map(body)
         if message["baton"] < self.baton or message["tenure"] != self.session:
             return Reply(409, self.report())
-        self.obey(message)
+        self.execute_orders(message)
         return Reply(200, self.report())
 
 
