--- a/tests/standins.py
+++ b/tests/standins.py
@@ -155,7 +155,7 @@
             key = (order["leg"], order["try"])
             if order["verb"] == "run" and key not in self.legs:
                 self.legs[key] = {"leg": order["leg"], "try": order["try"], "stage": "running"}
-                if order["leg"] not in self.cloud.lasting:
+                if order["leg"] not in self.cloud.until_stopped:
                     asyncio.get_running_loop().call_later(0.5, self.end, key, "done")
             elif order["verb"] == "kill":
                 self.end(key, "halted")
@@ -174,7 +174,7 @@
         self.api_port = api_port
         self.workers: dict[str, Worker] = {}
         self.hires: dict[str, list[str]] = {}
-        self.lasting: set[str] = set()  # tasks that run until they are stopped
+        self.until_stopped: set[str] = set()  # tasks that run until they are stopped
         self.names = itertools.count()
         self.server = Server(self.serve, 20)
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -108,7 +108,7 @@
 
 def test_a_service_runs_until_it_is_cancelled(tmp_path: Path) -> None:
     async def story(service: Service) -> None:
-        service.standins.cloud.lasting.update({"j-000002/0", "j-000002/1"})
+        service.standins.cloud.until_stopped.update({"j-000002/0", "j-000002/1"})
         job = {**JOB, "uid": "j-000002", "shape": "service", "legs": 2}
         assert (await service.ask("POST", "/v1/jobs", job))[0] == 201
         await service.until("/v1/jobs/j-000002", "running", 2)
@@ -250,7 +250,7 @@
 
 def test_operators_see_status_and_metrics(tmp_path: Path) -> None:
     async def story(service: Service) -> None:
-        service.standins.cloud.lasting.add("j-000003/0")
+        service.standins.cloud.until_stopped.add("j-000003/0")
         job = {**JOB, "uid": "j-000003", "shape": "service", "legs": 1}
         assert (await service.ask("POST", "/v1/jobs", job))[0] == 201
         await service.until("/v1/jobs/j-000003", "running", 1)
