--- a/tests/standins.py
+++ b/tests/standins.py
@@ -104,7 +104,7 @@
 
     def __init__(self, cloud: Cloud, host: str, hull: str, yard: str, lendable: bool) -> None:
         self.cloud = cloud
-        self.about = {"host": host, "hull": hull, "yard": yard, "lendable": lendable}
+        self.identity = {"host": host, "hull": hull, "yard": yard, "lendable": lendable}
         self.tick = 0
         self.baton = 0
         self.legs: dict[tuple[str, int], dict[str, Any]] = {}
@@ -114,7 +114,7 @@
     def report(self) -> dict[str, Any]:
         self.tick += 1
         return {
-            **self.about,
+            **self.identity,
             "addr": f"127.0.0.1:{self.server.port}",
             "tenure": 1,
             "tick": self.tick,
@@ -206,8 +206,8 @@
                     "uid": id,
                     "addr": f"127.0.0.1:{w.server.port}",
                     "hull": "m4",
-                    "yard": w.about["yard"],
-                    "lendable": w.about["lendable"],
+                    "yard": w.identity["yard"],
+                    "lendable": w.identity["lendable"],
                     "stage": "running",
                     "age_s": 1.0,
                 }
--- a/tools/measure_entitlements.py
+++ b/tools/measure_entitlements.py
@@ -91,7 +91,7 @@
         self.controllers = [self.controller(n) for n in range(fleet.CONTROLLERS)]
         self.workers = [WatchedWorker(n, self.apis, REPORT_S, 6.0) for n in range(WORKERS)]
         for worker in self.workers:
-            port = int(worker.about["addr"].rpartition(":")[2])
+            port = int(worker.identity["addr"].rpartition(":")[2])
             await Server(worker.serve, 8).start(fleet.WORKER_HOST, port)
         self.tasks = [asyncio.create_task(worker.run()) for worker in self.workers]
         await self.until(lambda: sum(self.holdings().values()) == WORKERS, "recorded")
--- a/tools/measure_locality.py
+++ b/tools/measure_locality.py
@@ -87,7 +87,7 @@
     def _begin(self, key: tuple[str, int]) -> None:
         now, task = time.monotonic(), key[0]
         self.truth.began.setdefault(task, now)
-        whole = self.truth.duration(self.about["yard"])
+        whole = self.truth.duration(self.identity["yard"])
         left = whole * (1.0 - self.truth.progress.get(task, 0.0))
         self.legs[key] = {"leg": task, "try": key[1], "stage": "running"}
         timer = asyncio.get_running_loop().call_later(left, self._done, key)
@@ -205,7 +205,7 @@
 
     def look(self, workers: list[MeasuredWorker]) -> None:
         """Note how much runs near the data, and how far the largest load is above the mean."""
-        used = [(w.about["yard"], w.used()) for w in workers]
+        used = [(w.identity["yard"], w.used()) for w in workers]
         total = sum(cpus for _, cpus in used)
         near = sum(cpus for zone, cpus in used if zone == self.truth.near)
         busy = [cpus for _, cpus in used if cpus]
--- a/tools/measure_loopback_fleet.py
+++ b/tools/measure_loopback_fleet.py
@@ -87,7 +87,7 @@
     """Reports over one connection at a time; tasks run for two seconds, services go on."""
 
     def __init__(self, number: int, apis: list[int], report_s: float, lease_s: float) -> None:
-        self.about = machine(number)
+        self.identity = machine(number)
         self.apis, self.report_s, self.lease_s = apis, report_s, lease_s
         self.target = number % len(apis)
         self.session, self.tick, self.baton = 1, 0, 0
@@ -101,8 +101,8 @@
     def report(self) -> bytes:
         """The next report."""
         self.tick += 1
-        about = {k: v for k, v in self.about.items() if k != "uid"}
-        state = {"host": self.about["uid"], "tenure": self.session, "tick": self.tick}
+        about = {k: v for k, v in self.identity.items() if k != "uid"}
+        state = {"host": self.identity["uid"], "tenure": self.session, "tick": self.tick}
         legs = list(self.legs.values())
         return encode({**about, **state, "baton": self.baton, "warning_s": None, "legs": legs})
 
@@ -196,7 +196,7 @@
     workers = [LightWorker(n, args.apis, args.report_s, args.lease_s) for n in numbers]
     for worker in workers:
         server = Server(worker.serve, 8)
-        await server.start(WORKER_HOST, int(worker.about["addr"].rpartition(":")[2]))
+        await server.start(WORKER_HOST, int(worker.identity["addr"].rpartition(":")[2]))
     tasks = [asyncio.create_task(w.run()) for w in workers]
     await asyncio.to_thread(sys.stdin.read)
     for task in tasks:
