--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -3,13 +3,13 @@
 from typing import Any
 
 import pytest
-from world import FIVE, MEMBERS, World, spec
+from world import FIVE_MEMBERS, MEMBERS, World, spec
 
 from runcourse.core import types as t
 from runcourse.core.machine import Machine
 from runcourse.core.node import Node
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE], ids=["three", "five"])
+BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE_MEMBERS], ids=["three", "five"])
 
 
 def owner_of(world: World, id: str) -> tuple[Node, Machine]:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -6,7 +6,7 @@
 
 from failing_parts import BOTH
 from test_faulty_jobs_and_late_writes import owner_of_job
-from world import CANCEL_S, FIVE, MEMBERS, World, spec
+from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
 from runcourse.core import types as t
 from runcourse.core.authority import MAX_CANCELLATIONS_IN_GRANT
@@ -291,7 +291,7 @@
 
 def test_how_many_nodes_make_a_quorum() -> None:
     """With any owner outside of it, no majority can grant it time without one of them."""
-    for members in (MEMBERS, (*MEMBERS, "n3"), FIVE):
+    for members in (MEMBERS, (*MEMBERS, "n3"), FIVE_MEMBERS):
         world = World(machines=1, members=members)
         node = node_of(world, "n0")
         quorum = node.confirmations.quorum
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -6,7 +6,7 @@
 from failing_parts import BOTH
 from test_failures import ready
 from test_faulty_jobs_and_late_writes import owner_of_job
-from world import FIVE, World, spec
+from world import FIVE_MEMBERS, World, spec
 
 from runcourse.core import types as t
 from runcourse.core.status import status_of
@@ -69,8 +69,8 @@
 
 @pytest.mark.parametrize("second", ["crash", "freeze", "cut"])
 def test_a_second_controller_in_trouble_while_one_is_away(second: str) -> None:
-    world = busy(FIVE, 12)
-    away, other = FIVE[0], FIVE[1]
+    world = busy(FIVE_MEMBERS, 12)
+    away, other = FIVE_MEMBERS[0], FIVE_MEMBERS[1]
     world.crash(away)
     world.run(10.0)
     if second == "crash":
@@ -79,11 +79,11 @@
     elif second == "freeze":
         world.freeze(other, 9.0)
     else:
-        pairs = [frozenset((other, m)) for m in (*FIVE, "state") if m != other]
+        pairs = [frozenset((other, m)) for m in (*FIVE_MEMBERS, "state") if m != other]
         world.cut_links.update(pairs)
         world.after(9.0, lambda: world.cut_links.difference_update(pairs))
     world.run(7.0)
-    user = FIVE[2]
+    user = FIVE_MEMBERS[2]
     for n in range(4):
         world.submit(spec(f"j-00020{n}", tasks=1, team=f"team-{n}"), user)
     world.run(25.0)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from world import FIVE, LEASE_S, World, spec
+from world import FIVE_MEMBERS, LEASE_S, World, spec
 
 from runcourse.core.ids import Stamp, Team
 from runcourse.core.stored_values import MappingValue
@@ -232,7 +232,7 @@
 
 def test_teams_are_dealt_evenly_and_the_list_in_the_store_decides() -> None:
     """A hash of few names left one share of five without a team."""
-    world = World(members=FIVE)
+    world = World(members=FIVE_MEMBERS)
     world.run(3.0)
     node = world.nodes["n0"]
     assert node is not None
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -8,7 +8,7 @@
 import pytest
 from mixed_versions import earlier_history
 from random_failures import ACTIONS, act
-from world import FIVE, MEMBERS, World
+from world import FIVE_MEMBERS, MEMBERS, World
 
 from runcourse.core.stored_values import LIVE
 
@@ -17,7 +17,7 @@
 
 def played(seed: int, before_divisions: bool) -> dict[str, Any]:
     """What came of a long random story, and how far the random numbers were drawn."""
-    members = (MEMBERS, FIVE)[seed % 2]
+    members = (MEMBERS, FIVE_MEMBERS)[seed % 2]
     world = World(
         seed=seed, machines=9, members=members, before_divisions=before_divisions, cpus_max=24.0
     )
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -6,7 +6,7 @@
 import pytest
 from test_failures import ready
 from test_guards import owner_of_some
-from world import CANCEL_S, FIVE, MEMBERS, World, spec
+from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
 from runcourse.core import types as t
 from runcourse.core.ids import Instant, JobId, Stamp
@@ -50,7 +50,7 @@
     assert PAGE_BITS > 1 and not world.violations
 
 
-@pytest.mark.parametrize("members", [MEMBERS, FIVE])
+@pytest.mark.parametrize("members", [MEMBERS, FIVE_MEMBERS])
 def test_who_holds_grants_hears_what_was_cancelled_meanwhile(members: tuple[str, ...]) -> None:
     """The owner is refused alone and can't hear the node that takes a cancellation; then all are
     refused, and others, who read it, grant the owner time for longer than a cancellation
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from world import FIVE, World, spec
+from world import FIVE_MEMBERS, World, spec
 
 from runcourse.core.types import CloudMachine
 from runcourse.net.clients import Cloud
@@ -20,9 +20,9 @@
 
 
 def test_hundreds_of_machines_are_adopted_and_dealt_though_all_nodes_restart_meanwhile() -> None:
-    world = World(machines=930, members=FIVE)
+    world = World(machines=930, members=FIVE_MEMBERS)
     world.run(1.5)
-    for member in FIVE:
+    for member in FIVE_MEMBERS:
         world.crash(member)
         world.after(0.1, lambda m=member: world.start(m))  # type: ignore[misc]
     world.until(lambda: sum(records(world).values()) == 930, 15)
@@ -35,7 +35,7 @@
 def test_many_machines_and_nodes_in_trouble_at_once() -> None:
     """Dozens dead, hung, cut off and back without memory, two nodes gone and one standing still:
     nothing runs twice, and all that was lost is up again."""
-    world = World(machines=60, members=FIVE, cpus_max=60.0, lease_s=12.0)
+    world = World(machines=60, members=FIVE_MEMBERS, cpus_max=60.0, lease_s=12.0)
     world.capacity = 60
     world.run(5.0)
     for n in range(4):
@@ -55,16 +55,16 @@
     for worker in workers[12:24]:
         worker.hung = True
         world.after(8.0, lambda w=worker: setattr(w, "hung", False))  # type: ignore[misc]
-    held = {frozenset((w.id, m)) for w in workers[24:36] for m in FIVE}
+    held = {frozenset((w.id, m)) for w in workers[24:36] for m in FIVE_MEMBERS}
     world.cut_links |= held  # for longer than a lease, then delivered late
     world.after(16.0, lambda: world.cut_links.difference_update(held))
     world.after(16.1, world.deliver_held)
     for worker in workers[36:48]:
         worker.restart_without_state()
-    for member in FIVE[:2]:
+    for member in FIVE_MEMBERS[:2]:
         world.crash(member)
         world.after(0.2 if member == "n0" else 7.0, lambda m=member: world.start(m))  # type: ignore[misc]
-    world.freeze(FIVE[2], 6.0)
+    world.freeze(FIVE_MEMBERS[2], 6.0)
     began = world.now
     world.until(lambda: up() == 32, 60)
     recovered = world.now - began
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from random_failures import ACTIONS, act, locality
-from world import FIVE, MEMBERS, World
+from world import FIVE_MEMBERS, MEMBERS, World
 
 from runcourse.config import Operators
 from runcourse.core.ids import MachineId, creation_order
@@ -136,7 +136,7 @@
         world = World(
             seed=seed,
             machines=12,
-            members=FIVE if seed % 4 < 2 else MEMBERS,
+            members=FIVE_MEMBERS if seed % 4 < 2 else MEMBERS,
             cpus_max=16.0,
             locality=locality(seed) if moving else None,
             operators=Operators(idle_return=1e6) if moving else None,
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -5,7 +5,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 from random_failures import ACTIONS, act, locality
-from world import CANCEL_S, FIVE, MEMBERS, World
+from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World
 from world_pool import CountingChecker
 from world_pool import settings as organisations
 
@@ -26,7 +26,7 @@
     phases=(Phase.explicit, Phase.generate),  # shrinking whole stories takes too long for CI
     suppress_health_check=list(HealthCheck),
 )
-@given(steps, st.integers(0, 1000), st.sampled_from((MEMBERS, FIVE)))
+@given(steps, st.integers(0, 1000), st.sampled_from((MEMBERS, FIVE_MEMBERS)))
 def test_rules_hold_whatever_fails(
     script: list[tuple[str, int, float]], seed: int, members: tuple[str, ...]
 ) -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 from world_rules import RuleChecks
 from world_settings import (
     CANCEL_S,
-    FIVE,
+    FIVE_MEMBERS,
     GANG_PEER_S,
     GANG_WAIT_S,
     LEASE_S,
--- a/tests/world_settings.py
+++ b/tests/world_settings.py
@@ -24,7 +24,7 @@
 GANG_PEER_S = 2.0
 TYPE = t.MachineType("m4", 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ("a", "b", "c"))
 MEMBERS = ("n0", "n1", "n2")
-FIVE = (*MEMBERS, "n3", "n4")
+FIVE_MEMBERS = (*MEMBERS, "n3", "n4")
 ZONES = ("a", "b", "c")
 
 
--- a/tools/measure_scale.py
+++ b/tools/measure_scale.py
@@ -24,7 +24,7 @@
     HERE = Path(sys.argv[sys.argv.index("--tree") + 1]).resolve()
 sys.path[:0] = [str(HERE), str(HERE / "tests")]
 
-from world import FIVE, MEMBERS, World, spec  # noqa: E402
+from world import FIVE_MEMBERS, MEMBERS, World, spec  # noqa: E402
 
 from runcourse.config import Operators  # noqa: E402
 from runcourse.core import types as t  # noqa: E402
@@ -258,7 +258,7 @@
     parser.add_argument("--locality", action="store_true", help="with the locality policy on")
     parser.add_argument("--tree", default=str(HERE))
     args = parser.parse_args()
-    members = MEMBERS if args.members == 3 else FIVE
+    members = MEMBERS if args.members == 3 else FIVE_MEMBERS
     print(json.dumps(measure(args.workers, members, args.seconds, args.seed, args.locality)))
 
 
