--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -9,7 +9,7 @@
 from runcourse.core.machine import Machine
 from runcourse.core.node import Node
 
-BOTH = pytest.mark.parametrize("members", [MEMBERS, FIVE_MEMBERS], ids=["three", "five"])
+CLUSTER_SIZES = pytest.mark.parametrize("members", [MEMBERS, FIVE_MEMBERS], ids=["three", "five"])
 
 
 def owner_of(world: World, id: str) -> tuple[Node, Machine]:
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from combined_failures import send
-from world import CANCEL_S, World, spec, void
+from world import CANCEL_S, World, ignore_result, spec
 from world_worker import Worker
 
 from runcourse.core import types as t
@@ -130,7 +130,7 @@
             ]
             action = "rollback" if self.pick % 5 == 0 else "apply"
             event = t.DivisionRequest(0, action, version, limits, self.member)  # type: ignore
-            self.world.ask("user", self.member, event, void)
+            self.world.ask("user", self.member, event, ignore_result)
 
     def failing_job(self) -> None:
         self.world.failing_jobs.add(self.uid)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
@@ -69,7 +69,7 @@
     assert not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_the_gap_between_a_leader_refused_alone_and_an_outage(members: tuple[str, ...]) -> None:
     """Refused alone, the owner misses a cancellation that another node takes at the very moment
     before the service is down for all; its workers still report to it."""
@@ -85,7 +85,7 @@
         assert not world.on_machines()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_the_storing_node_dies_after_confirming(members: tuple[str, ...]) -> None:
     world, owner = running(members)
     taker = next(m for m in members if m != owner)
@@ -98,7 +98,7 @@
     assert not world.on_machines(), "those that grant the owner time told it"
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_node_cut_off_from_all_peers_confirms_nothing(members: tuple[str, ...]) -> None:
     """It could store, but whoever owns the job might never hear of it in the outage."""
     world, owner = running(members)
@@ -122,7 +122,7 @@
     assert not world.on_machines()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_knowing_node_restarts_in_the_outage(members: tuple[str, ...]) -> None:
     world, owner = running(members)
     taker, knowing = [m for m in members if m != owner][:2]
@@ -139,7 +139,7 @@
     assert not node_of(world, knowing).store.ready, "it counts for nothing before it has read"
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_two_cancellations_known_to_different_nodes(members: tuple[str, ...]) -> None:
     """One is taken here, another there, each just before its taker is cut off."""
     second = "j-000002"
@@ -158,7 +158,7 @@
     gone_in_time(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_cancellations_that_only_peers_told_of_go_with_a_grant(members: tuple[str, ...]) -> None:
     """A node that is refused too hears of a cancellation over its peer link, before it has read
     it, or the job itself. It grants the owner time, and what it knows goes with that."""
@@ -179,7 +179,7 @@
     assert jobs.cancelled_since(Stamp(9)) == ["j-000077"]
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_words_of_peers_last_but_count_once(members: tuple[str, ...]) -> None:
     """A late copy of a former process's word is still true, as its successor reads all before it
     does anything; but it is one node's word, however often it arrives."""
@@ -206,7 +206,7 @@
     assert node.confirmations.is_confirmed(job)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_more_cancellations_than_a_grant_holds(members: tuple[str, ...]) -> None:
     """Then the grant is withheld, never shortened: the owner stops instead of not knowing."""
     world, owner = running(members)
@@ -227,7 +227,7 @@
     assert not world.on_machines()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_cancellation_whose_answer_was_lost_is_told_by_nobody_too_early(
     members: tuple[str, ...],
 ) -> None:
@@ -250,7 +250,7 @@
     gone_in_time(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_new_owner_commands_only_once_it_has_read_up_to_its_takeover(
     members: tuple[str, ...],
 ) -> None:
@@ -270,7 +270,7 @@
     assert node.shares.may_command(share)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_confirming_takes_a_moment_and_needs_no_particular_node(members: tuple[str, ...]) -> None:
     world, owner = running(members, UID, "j-000002", "j-000003")
     taker, away = [m for m in members if m != owner][:2]
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -20,13 +20,13 @@
     send,
     submit,
 )
-from failing_parts import BOTH, again, capture
+from failing_parts import CLUSTER_SIZES, again, capture
 from world import CANCEL_S, LEASE_S, spec
 
 from runcourse.core import types as t
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_leaders_change_ten_times_also_inside_an_outage(members: tuple[str, ...]) -> None:
     world = busy(members)
     for n in range(10):
@@ -51,7 +51,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("how", ["cut", "deaf", "hung"])
 def test_the_leader_ends_while_machines_with_long_tasks_are_out_of_reach(
     members: tuple[str, ...], how: str
@@ -68,7 +68,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("back_s", [0.3, 4.0])
 def test_controllers_hand_over_and_back_all_end_and_one_returns(
     members: tuple[str, ...], back_s: float
@@ -89,7 +89,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_report_held_back_arrives_once_a_new_leader_has_acted(members: tuple[str, ...]) -> None:
     """Also: it arrives everywhere just as the new leader begins, and again later."""
     world = busy(members)
@@ -118,7 +118,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("how", ["cut", "hung"])
 def test_teams_at_their_limit_when_leader_and_machines_fail_and_jobs_are_cancelled(
     members: tuple[str, ...], how: str
@@ -146,7 +146,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_all_controllers_are_away_for_longer_than_a_lease(members: tuple[str, ...]) -> None:
     world = busy(members)
     send(world, members[1], t.Cancel(0, "j-000011"))
@@ -161,7 +161,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts(
     members: tuple[str, ...],
 ) -> None:
@@ -184,7 +184,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_tasks_that_end_far_apart_across_a_change_of_leader(members: tuple[str, ...]) -> None:
     world = fresh(members)
     lengths = {0: 1.0, 1: 9.0, 2: 18.0}
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -7,13 +7,13 @@
 
 import pytest
 from combined_failures import TEAMS, busy, calm, end_of, fresh, leader, send, submit
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from world import LEASE_S, spec
 
 from runcourse.core import types as t
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("how_many", ["some", "all"])
 def test_workers_reach_no_controller_while_commands_reach_them(
     members: tuple[str, ...], how_many: str
@@ -28,7 +28,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(
     members: tuple[str, ...],
 ) -> None:
@@ -53,7 +53,7 @@
     assert set(world.workers) <= recorded, "every machine hired is known"
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("seconds", [4.0, LEASE_S + 4.0])
 def test_a_zone_with_workers_and_a_controller_is_cut_off(
     members: tuple[str, ...], seconds: float
@@ -74,7 +74,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_more_work_than_room_urgent_and_not_over_slow_links(members: tuple[str, ...]) -> None:
     world = fresh(members, 5)
     world.link_delay_s = 0.25
@@ -100,7 +100,7 @@
     calm(world, 120.0)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_jobs_bound_to_one_zone_lose_machines(members: tuple[str, ...]) -> None:
     world = fresh(members, 12)
     for n, zone in enumerate("abc"):
@@ -116,7 +116,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_command_or_its_answer_is_held_up_and_the_machine_goes_on(
     members: tuple[str, ...],
 ) -> None:
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -9,14 +9,14 @@
 
 import pytest
 from combined_failures import TEAMS, busy, calm, end_of, fresh, leader, send, submit
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from world import CANCEL_S, MEMBERS, spec
 
 from runcourse.core import types as t
 from runcourse.core.ids import TaskId
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_changes_without_an_answer_are_carried_out_after_newer_ones(
     members: tuple[str, ...],
 ) -> None:
@@ -43,7 +43,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_requests_meet_the_end_of_a_job_s_last_task(members: tuple[str, ...]) -> None:
     """Nothing else is wrong: a cancellation, a question and a repeated submission, within
     milliseconds before and after the last task ends."""
@@ -95,7 +95,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_change_is_carried_out_and_only_its_answer_lost_while_others_read_it(
     members: tuple[str, ...],
 ) -> None:
@@ -125,7 +125,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_leader_alone_with_workers_and_users_while_the_new_one_takes_cancellations(
     members: tuple[str, ...],
 ) -> None:
@@ -145,7 +145,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("cancel_after", [0.0, 0.05, 1.0])
 def test_the_leader_is_refused_alone_then_everybody_for_longer_than_a_cancellation(
     members: tuple[str, ...], cancel_after: float
@@ -170,7 +170,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_the_state_service_answers_slowly_while_users_cancel_and_ask(
     members: tuple[str, ...],
 ) -> None:
@@ -186,7 +186,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_close_looks_at_all_nodes_find_nothing_older(members: tuple[str, ...]) -> None:
     """Questions, repeated submissions and cancellations within milliseconds after each answer."""
     world = fresh(members)
@@ -230,7 +230,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_jobs_are_cancelled_while_one_controller_s_work_changes_hands(
     members: tuple[str, ...],
 ) -> None:
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from test_failures import ready
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import FIVE_MEMBERS, World, spec
@@ -38,7 +38,7 @@
     )
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_controller_away_for_a_minute_costs_no_task(members: tuple[str, ...]) -> None:
     world = busy(members)
     away = leader(world)
@@ -93,7 +93,7 @@
     assert set(owners(world).values()) == {1} and not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("seconds", [5.0, 20.0])
 @pytest.mark.parametrize("again", [False, True], ids=["once", "twice"])
 def test_the_leader_stands_still(members: tuple[str, ...], seconds: float, again: bool) -> None:
@@ -113,7 +113,7 @@
     assert len(world.on_machines()) == 8 and not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_who_takes_over_stands_still_half_way(members: tuple[str, ...]) -> None:
     world = busy(members)
     away = leader(world)
@@ -136,7 +136,7 @@
     )
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("what", ["state", "workers", "peers", "refused", "state and peers"])
 def test_a_controller_cut_off_from_one_thing_only(members: tuple[str, ...], what: str) -> None:
     # A worker without an answer waits 4 s, and 1 s until it tries the next node.
@@ -168,7 +168,7 @@
     assert set(owners(world).values()) == {1} and not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_after_the_troubles_every_job_is_answered_for_by_every_controller(
     members: tuple[str, ...],
 ) -> None:
--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from mixed_versions import back, earlier_history, mixed
 from world import World
 from world_pool import DEALERS, REGISTRY, PoolWorld, contended_pool, limits, recorded_pool, settings
@@ -30,7 +30,7 @@
     return answer.division.version
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_of_two_at_once_one_is_stored_and_the_other_told_both_versions(
     members: tuple[str, ...],
 ) -> None:
@@ -49,7 +49,7 @@
         assert shown is not None and shown.division == loser.division
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_rollback_crosses_an_apply(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     assert accepted(world.apply(RAISED, 0)) == 1
@@ -79,7 +79,7 @@
     )
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_an_apply_whose_answer_is_lost_is_settled_by_asking_again(
     members: tuple[str, ...],
 ) -> None:
@@ -110,7 +110,7 @@
     assert data["current"]["author"] == "n1"
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_ten_divisions_in_a_minute_end_with_the_last(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     for organisation in (DEALERS, REGISTRY):
@@ -124,7 +124,7 @@
     assert len(world.state.data["rc/division"][0]["past"]) == 5, "bounded"
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_in_an_outage_nothing_is_promised(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.state.outage(True)
@@ -203,7 +203,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 def test_no_division_is_stored_before_everybody_reads_it(members: tuple[str, ...]) -> None:
     world = PoolWorld(members)
     world.crash("n0")
@@ -222,7 +222,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 def test_a_member_of_the_version_in_production_comes_back_in_the_middle(
     members: tuple[str, ...],
 ) -> None:
@@ -245,7 +245,7 @@
 
 
 @earlier_history
-@BOTH
+@CLUSTER_SIZES
 def test_a_member_of_the_version_before_comes_back_in_the_middle(
     members: tuple[str, ...],
 ) -> None:
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -4,7 +4,7 @@
 
 import pytest
 from combined_failures import calm, end_of, leader, send
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from gang_stories import (
     UID,
     after,
@@ -25,7 +25,7 @@
 from runcourse.core import types as t
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_task_lost_before_the_start_is_replaced_under_the_same_attempt(
     members: tuple[str, ...],
 ) -> None:
@@ -84,7 +84,7 @@
     assert not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("how", ["die", "hang", "blink", "mute", "deaf", "sick"])
 def test_a_task_of_a_running_gang_is_lost(members: tuple[str, ...], how: str) -> None:
     world = running(members, estimate_s=20.0)
@@ -232,7 +232,7 @@
     assert not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("phase", ["fetching", "waiting", "running", "saving", "mates"])
 @pytest.mark.parametrize("trouble", ["none", "leader ends", "machine cut"])
 def test_cancelled_in_each_phase(members: tuple[str, ...], phase: str, trouble: str) -> None:
@@ -250,7 +250,7 @@
     calm(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("phase", ["fetching", "waiting", "running", "saving", "mates"])
 @pytest.mark.parametrize("back_s", [0.2, 20.0], ids=["back at once", "taken over"])
 def test_a_takeover_in_each_phase(members: tuple[str, ...], phase: str, back_s: float) -> None:
@@ -266,7 +266,7 @@
         assert world.gang_runs[0][2] == attempt, "it went on with the attempt it had"
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_copies_of_reports_of_an_old_attempt_change_nothing(members: tuple[str, ...]) -> None:
     from failing_parts import again, capture
 
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -1,7 +1,7 @@
 """Where gangs go, and how room is made for them."""
 
 from combined_failures import submit
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from gang_stories import UID, fresh, gang, machines_of, node_of_team, runs, work_of
 from world import World, spec
 
@@ -9,7 +9,7 @@
 from runcourse.core.leader.hiring import HireOption
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_gang_runs_as_a_whole_in_one_zone_with_one_attempt(members: tuple[str, ...]) -> None:
     world = fresh(members)
     world.submit(gang())
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from failing_parts import BOTH, again, capture, owner_of
+from failing_parts import CLUSTER_SIZES, again, capture, owner_of
 from test_failures import ready
 from world import LEASE_S, World, spec
 
@@ -13,7 +13,7 @@
 from runcourse.core.machines import Fleet
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_copy_makes_no_machine_fresh(members: tuple[str, ...]) -> None:
     world = World(machines=3, members=members)
     world.run(4.0)
@@ -33,7 +33,7 @@
     assert machine.heard == heard, "a token that goes back is of another life"
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_copy_after_a_takeover_makes_no_machine_usable(members: tuple[str, ...]) -> None:
     world = World(machines=3, members=members)
     world.run(4.0)
@@ -162,7 +162,7 @@
     assert worker.id in world.workers and not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("pause", [0.0, 0.05, 0.3])
 def test_nodes_back_at_once_in_the_middle_of_takeovers(
     members: tuple[str, ...], pause: float
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from locality_world import (
     UID,
     array,
@@ -32,7 +32,7 @@
 # --- the picture changes -----------------------------------------------------------------
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_running_work_follows_its_data_one_task_at_a_time(members: tuple[str, ...]) -> None:
     world = world_with(settings("a"), members)
     array(world, tasks=1)
@@ -234,7 +234,7 @@
     assert not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("after", [0.0, 0.5], ids=["before the stop", "after the stop"])
 @pytest.mark.parametrize("how", ["ends", "is cut off", "is refused"])
 def test_the_owner_is_lost_between_stop_and_start(
@@ -304,7 +304,7 @@
     return TransferMachine(machine.id, share)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("after", [0.0, 0.05, 0.5, 1.1, 2.0])
 def test_a_cancellation_at_any_step_keeps_its_time(members: tuple[str, ...], after: float) -> None:
     world = moving(members)
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from failing_parts import BOTH, owner_of
+from failing_parts import CLUSTER_SIZES, owner_of
 from gang_stories import machines_of
 from world import LEASE_S, MEMBERS, World, spec
 from world_pool import (
@@ -80,7 +80,7 @@
 # --- what runs and waits -----------------------------------------------------------------
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_cut_lands_while_an_array_is_half_placed(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.submit_array(DEALERS, 24, 6.0)
@@ -95,7 +95,7 @@
     assert world.checker.longest_uncounted_s <= CALM_HANDOVER_S
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_cut_lands_while_a_gang_waits_for_its_last_member(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.fetch_s = 3.0
@@ -113,7 +113,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_long_tasks_hold_what_was_cut_until_they_end(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.submit_array(DEALERS, 12, 100.0)
@@ -136,7 +136,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_replicas_above_a_cut_target_stay_up(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.submit_replicas(DEALERS, 8)
@@ -153,7 +153,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_an_organisation_asks_for_nothing_and_then_for_everything(
     members: tuple[str, ...],
 ) -> None:
@@ -169,7 +169,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_lesser_work_is_stopped_for_what_is_owed_and_no_further(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.submit_replicas(DEALERS, 2)
@@ -186,7 +186,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_new_machines_go_first_to_who_is_short(members: tuple[str, ...]) -> None:
     world = contended_pool(members, estimate_s=LONG_S)
     raised(world)
@@ -215,7 +215,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_maximum_binds_only_while_others_ask(members: tuple[str, ...]) -> None:
     first = settings()
     dealers = msgspec.structs.replace(first.organisations[0], maximum=16.0)
@@ -231,7 +231,7 @@
 # --- leaders, owners and the store -------------------------------------------------------
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("phase", ["before", "asked", "first", "half", "last"])
 def test_the_leader_changes_in_every_phase(members: tuple[str, ...], phase: str) -> None:
     world = contended_pool(members)
@@ -253,7 +253,7 @@
     assert world.checker.longest_uncounted_s <= FAILED_HANDOVER_S
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_cut_lands_during_a_takeover(members: tuple[str, ...]) -> None:
     world = contended_pool(members)
     giver = next(s for s in range(len(members)) if world.organisation_of_share(s) == DEALERS)
@@ -267,7 +267,7 @@
     reached(world)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("seconds", [3.0, 15.0])
 def test_a_cut_is_followed_by_an_outage(members: tuple[str, ...], seconds: float) -> None:
     world = contended_pool(members)
@@ -279,7 +279,7 @@
     reached(world, MINUTE_S + 3 * LEASE_S)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_changes_arrive_late_and_answers_are_lost(members: tuple[str, ...]) -> None:
     for seed in range(3):
         world = contended_pool(members, seed=seed)
@@ -297,7 +297,7 @@
 # --- one machine -------------------------------------------------------------------------
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_two_controllers_claim_one_freed_machine(members: tuple[str, ...]) -> None:
     world = contended_pool(members)
     world.run(2.0)
@@ -313,7 +313,7 @@
     world.until(lambda: world.holdings_near(dealers=6, registry=6), MINUTE_S)
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("how", ["dies", "taken"])
 def test_a_machine_is_lost_while_it_is_handed_over(members: tuple[str, ...], how: str) -> None:
     world = contended_pool(members)
@@ -329,7 +329,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_cut_lands_while_a_machine_is_handed_over(members: tuple[str, ...]) -> None:
     world = contended_pool(members)
     world.state_delay_s = 0.5
@@ -342,7 +342,7 @@
     world.assert_rules_hold()
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_the_owner_ends_while_it_hands_a_machine_over(members: tuple[str, ...]) -> None:
     world = contended_pool(members)
     world.state_delay_s = 0.5
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from failing_parts import BOTH, owner_of
+from failing_parts import CLUSTER_SIZES, owner_of
 from test_failures import ready
 from world import LEASE_S, World, spec
 
@@ -23,7 +23,7 @@
     return world, owner_of(world, world.on_machines()[0][1].id)[0].context.me
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("kind", ["freeze", "stall"])
 @pytest.mark.parametrize("seconds", [0.8, 3.0, 20.0])
 def test_a_node_that_stood_still_breaks_nothing(
@@ -43,7 +43,7 @@
     assert not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_lease_taken_over_meanwhile_is_noticed_before_anything_is_commanded(
     members: tuple[str, ...],
 ) -> None:
@@ -131,7 +131,7 @@
     )
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_leader_that_stood_still_hires_nothing_twice(members: tuple[str, ...]) -> None:
     world = World(machines=0, members=members)
     world.run(4.0)
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -11,7 +11,7 @@
 import production
 import pytest
 from combined_failures import calm, leader, send, submit
-from failing_parts import BOTH
+from failing_parts import CLUSTER_SIZES
 from gang_stories import gang, runs
 from mixed_versions import LEAST, LEAST_OPS, back, busy, mixed, noted
 from test_cancellations import apart, outage_at_cancellation
@@ -25,7 +25,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("order", ["leader first", "leader last", "two at a time"])
 def test_an_orderly_roll_loses_no_task_and_no_job(members: tuple[str, ...], order: str) -> None:
     world = busy(members)
@@ -55,7 +55,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 def test_a_process_that_dies_before_its_turn_comes_back_as_it_was(members: tuple[str, ...]) -> None:
     world = busy(members)
     back(world, members[1], 1.0, new=True)
@@ -79,7 +79,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("new_takes", [True, False])
 def test_a_share_is_taken_over_by_either_version(members: tuple[str, ...], new_takes: bool) -> None:
     world = busy(members)
@@ -104,7 +104,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 def test_cancellations_are_confirmed_whatever_the_mix(members: tuple[str, ...]) -> None:
     """The former version's word is the list of cancellations that goes with its grant."""
     world = busy(members)
@@ -121,7 +121,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("owner_new", [True, False])
 def test_the_gap_with_mixed_nodes(members: tuple[str, ...], owner_new: bool) -> None:
     """Taken by a node of this version, while the owner, refused alone, is of either."""
@@ -143,7 +143,7 @@
 
 
 @mixed
-@BOTH
+@CLUSTER_SIZES
 def test_troubles_while_it_rolls(members: tuple[str, ...]) -> None:
     world = busy(members)
     for n, member in enumerate(members):
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -1,7 +1,7 @@
 """One-way machines, nodes left alone with their workers, and jobs that stay known meanwhile."""
 
 import pytest
-from failing_parts import BOTH, owner_of, replaced_after
+from failing_parts import CLUSTER_SIZES, owner_of, replaced_after
 from test_failures import ready
 from world import CANCEL_S, World, spec
 
@@ -10,7 +10,7 @@
 from runcourse.core.jobs import job_value
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_all_jobs_are_known_after_all_nodes_restarted(members: tuple[str, ...]) -> None:
     world = World(members=members)
     world.run(4.0)
@@ -71,7 +71,7 @@
     assert not world.violations
 
 
-@BOTH
+@CLUSTER_SIZES
 @pytest.mark.parametrize("restarts", [False, True], ids=["plain", "owner restarts"])
 def test_a_machine_that_nothing_reaches_is_replaced(
     members: tuple[str, ...], restarts: bool
@@ -148,7 +148,7 @@
     world.until(lambda: machine.suspected, 6)
 
 
-@BOTH
+@CLUSTER_SIZES
 def test_a_node_alone_with_its_workers_stops_and_comes_back(members: tuple[str, ...]) -> None:
     world = World(machines=5, members=members, lease_s=10.0)
     world.run(4.0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -25,9 +25,9 @@
     REPORT_S,
     TYPE,
     ZONES,
+    ignore_result,
     platform,
     spec,
-    void,
 )
 from world_state import State
 from world_users import UserRequests
@@ -320,7 +320,9 @@
             return
 
         if isinstance(effect, t.Commit) and self.rng.random() < self.late_writes:
-            self.after(self.rng.uniform(2.0, 12.0), lambda: void(self.state.serve(member, effect)))
+            self.after(
+                self.rng.uniform(2.0, 12.0), lambda: ignore_result(self.state.serve(member, effect))
+            )
             self.after(2.5, lambda: back(0))
             return
 
@@ -334,7 +336,7 @@
 
         self.after(self._latency(), serve)
         if isinstance(effect, t.Commit):
-            self._copy(lambda: void(self.state.serve(member, effect)))
+            self._copy(lambda: ignore_result(self.state.serve(member, effect)))
 
     def _to_worker(self, member: str, effect: t.Command, back: Callable[..., None]) -> None:
         id = effect.addr.partition(":")[0]
--- a/tests/world_settings.py
+++ b/tests/world_settings.py
@@ -54,7 +54,7 @@
     )
 
 
-def void(value: Any) -> None:
+def ignore_result(value: Any) -> None:
     """For what is done for its effect only."""
 
 
