--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -17,7 +17,7 @@
     return node, node.fleet.machines[id]  # type: ignore[index]
 
 
-def capture(world: World) -> list[tuple[str, t.Report]]:
+def capture_reports(world: World) -> list[tuple[str, t.Report]]:
     """Reports as they arrive from now on, to be sent once more later."""
     seen: list[tuple[str, t.Report]] = []
     feed = world.feed
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -20,7 +20,7 @@
     send,
     submit,
 )
-from failing_parts import CLUSTER_SIZES, again, capture
+from failing_parts import CLUSTER_SIZES, again, capture_reports
 from world import CANCEL_S, LEASE_S, spec
 
 from runcourse.core import types as t
@@ -93,7 +93,7 @@
 def test_a_report_held_back_arrives_once_a_new_leader_has_acted(members: tuple[str, ...]) -> None:
     """Also: it arrives everywhere just as the new leader begins, and again later."""
     world = busy(members)
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(2.0)
     held = list(seen)
     who = leader(world)
@@ -166,7 +166,7 @@
     members: tuple[str, ...],
 ) -> None:
     world = busy(members)
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(2.0)
     early = list(seen)
     # A lease ends, so that there is a new session, and a machine is back without memory.
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -268,10 +268,10 @@
 
 @CLUSTER_SIZES
 def test_copies_of_reports_of_an_old_attempt_change_nothing(members: tuple[str, ...]) -> None:
-    from failing_parts import again, capture
+    from failing_parts import again, capture_reports
 
     world = running(members, estimate_s=25.0)
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(3.0)
     old = [(m, r) for m, r in seen if any(e.task.job == UID for e in r.tasks)]
     machines_of(world)[0].restart_without_state()
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from failing_parts import CLUSTER_SIZES, again, capture, owner_of
+from failing_parts import CLUSTER_SIZES, again, capture_reports, owner_of
 from test_failures import ready
 from world import LEASE_S, World, spec
 
@@ -17,7 +17,7 @@
 def test_a_copy_makes_no_machine_fresh(members: tuple[str, ...]) -> None:
     world = World(machines=3, members=members)
     world.run(4.0)
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(3.0)
     member, report = next((m, r) for m, r in seen if owner_of(world, r.machine)[0].context.me == m)
     node, machine = owner_of(world, report.machine)
@@ -37,7 +37,7 @@
 def test_a_copy_after_a_takeover_makes_no_machine_usable(members: tuple[str, ...]) -> None:
     world = World(machines=3, members=members)
     world.run(4.0)
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(3.0)
     _, report = seen[-1]
     node, _ = owner_of(world, report.machine)
@@ -57,7 +57,7 @@
 
 def test_a_copy_brings_back_no_machine_that_was_returned() -> None:
     world = ready(machines=3)
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(2.0)
     member, report = seen[-1]
     world.workers[report.machine].alive = False
@@ -95,7 +95,7 @@
     id = next(iter(world.workers))
     worker = world.workers[id]
     worker.session = 5
-    seen = capture(world)
+    seen = capture_reports(world)
     world.run(3.0)
     member, old = next((m, r) for m, r in reversed(seen) if r.session == 5)
     worker.restart_without_state()
