--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -31,7 +31,7 @@
     return seen
 
 
-def again(world: World, member: str, report: t.Report) -> None:
+def resend_report(world: World, member: str, report: t.Report) -> None:
     world.feed(member, t.ReportReceived(-1, report))
 
 
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -20,7 +20,7 @@
     send,
     submit,
 )
-from failing_parts import CLUSTER_SIZES, again, capture_reports
+from failing_parts import CLUSTER_SIZES, capture_reports, resend_report
 from world import CANCEL_S, LEASE_S, spec
 
 from runcourse.core import types as t
@@ -106,7 +106,7 @@
         for _, report in held:
             for member in members:
                 if world.nodes[member] is not None:
-                    again(world, member, report)
+                    resend_report(world, member, report)
 
     world.until(lambda: leader(world) not in (None, who), 15)
     deliver()
@@ -178,7 +178,7 @@
     for n in range(4):
         world.run(1.5)
         for member, report in (*early, *seen[-30:]):
-            world.after(0.05 * n, lambda m=member, r=report: again(world, m, r))  # type: ignore[misc]
+            world.after(0.05 * n, lambda m=member, r=report: resend_report(world, m, r))  # type: ignore[misc]
         if n == 1:
             end_of(world, members[0], 0.3)
     calm(world)
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -268,7 +268,7 @@
 
 @CLUSTER_SIZES
 def test_copies_of_reports_of_an_old_attempt_change_nothing(members: tuple[str, ...]) -> None:
-    from failing_parts import again, capture_reports
+    from failing_parts import capture_reports, resend_report
 
     world = running(members, estimate_s=25.0)
     seen = capture_reports(world)
@@ -278,11 +278,11 @@
     world.until(lambda: runs(world) == 2, 30)
     assert old
     for member, report in old:
-        again(world, member, report)
+        resend_report(world, member, report)
     world.run(2.0)
     for _, report in old:
         for m in members:
-            again(world, m, report)
+            resend_report(world, m, report)
     calm(world)
     assert runs(world) == 2 and world.last_stages[UID] == "done"
 
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from failing_parts import CLUSTER_SIZES, again, capture_reports, owner_of
+from failing_parts import CLUSTER_SIZES, capture_reports, owner_of, resend_report
 from test_failures import ready
 from world import LEASE_S, World, spec
 
@@ -26,10 +26,10 @@
     heard, images = machine.heard, dict(machine.images)
     for late in (0.0, 1.0):
         world.run(late)
-        again(world, member, report)
+        resend_report(world, member, report)
         assert machine.heard == heard and machine.images == images
         assert not node.fleet.usable(machine)
-    again(world, member, report._replace(seq=report.seq + 10_000, token=0))
+    resend_report(world, member, report._replace(seq=report.seq + 10_000, token=0))
     assert machine.heard == heard, "a token that goes back is of another life"
 
 
@@ -45,11 +45,11 @@
     world.crash(node.context.me)
     world.start(node.context.me)
     world.until(lambda: report.machine in world.nodes[node.context.me].fleet.machines, 3)  # type: ignore[union-attr]
-    again(world, node.context.me, report)
+    resend_report(world, node.context.me, report)
     node, machine = owner_of(world, report.machine)
     assert not machine.settled and not node.fleet.usable(machine)
     world.run(1.0)
-    again(world, node.context.me, report)
+    resend_report(world, node.context.me, report)
     assert not node.fleet.usable(machine)
     world.run(25.0)
     assert report.machine not in world.workers, "returned like any silent machine"
@@ -67,14 +67,14 @@
         10,
     )
     for m in world.members:
-        again(world, m, report)
+        resend_report(world, m, report)
     # Nor after the leader's memory is gone.
     for m in world.members:
         world.crash(m)
         world.start(m)
     world.run(4.0)
     for m in world.members:
-        again(world, m, report)
+        resend_report(world, m, report)
     world.run(5.0)
     assert all(report.machine not in n.fleet.records for n in world.nodes.values() if n is not None)
     assert member in world.members
@@ -84,7 +84,7 @@
     world = ready(machines=1)
     ghost = t.Report("i-000900", "i-000900:1", "m4", "a", False, 1, 5, 0, None, ())  # type: ignore[arg-type]
     for m in world.members:
-        again(world, m, ghost)
+        resend_report(world, m, ghost)
     world.run(5.0)
     assert all("i-000900" not in n.fleet.records for n in world.nodes.values() if n is not None)
 
@@ -105,7 +105,7 @@
     world.run(2.0)
     node, machine = owner_of(world, id)
     assert machine.session == 1
-    again(world, member, old)
+    resend_report(world, member, old)
     assert len(node.fleet.placements.of_job("j-000500")) == 1  # type: ignore[arg-type]
     world.run(10.0)
     assert len(world.starts) == 1 and not world.violations
