--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -35,7 +35,7 @@
     world.feed(member, t.ReportReceived(-1, report))
 
 
-def replaced_after(members: tuple[str, ...], restarts: bool, seed: int) -> float:
+def replacement_delay_s(members: tuple[str, ...], restarts: bool, seed: int) -> float:
     # A patience of 7 s: beyond the 5 s between two tries of a worker that hears no answer.
     world = World(seed=seed, machines=4, members=members, cpus_max=8.0, lease_s=12.0)
     world.run(4.0)
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -1,7 +1,7 @@
 """One-way machines, nodes left alone with their workers, and jobs that stay known meanwhile."""
 
 import pytest
-from failing_parts import CLUSTER_SIZES, owner_of, replaced_after
+from failing_parts import CLUSTER_SIZES, owner_of, replacement_delay_s
 from test_failures import ready
 from world import CANCEL_S, World, spec
 
@@ -77,7 +77,7 @@
     members: tuple[str, ...], restarts: bool
 ) -> None:
     # Which node its worker tries next is chance: now and then the lease ends before.
-    took = sorted(replaced_after(members, restarts, seed) for seed in range(1, 6))
+    took = sorted(replacement_delay_s(members, restarts, seed) for seed in range(1, 6))
     assert took[2] < 10.0 and took[-1] < 14.0
 
 
