--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -9,7 +9,9 @@
 TEAMS = 4
 
 
-def fresh(members: tuple[str, ...], machines: int = 9, seed: int = 1, **settings: Any) -> World:
+def started_world(
+    members: tuple[str, ...], machines: int = 9, seed: int = 1, **settings: Any
+) -> World:
     settings.setdefault("cpus_max", 100.0)
     world = World(seed=seed, machines=machines, members=members, **settings)
     world.run(4.0)
@@ -18,7 +20,7 @@
 
 def busy(members: tuple[str, ...], machines: int = 12, **settings: Any) -> World:
     """Each team has two replicas, an array of long tasks and a gang that run."""
-    world = fresh(members, machines, **settings)
+    world = started_world(members, machines, **settings)
     for n in range(TEAMS):
         world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", service=True, rank=0, cpus=1.0))
         world.submit(spec(f"j-00001{n}", tasks=3, team=f"team-{n}", cpus=1.0, estimate_s=40.0))
--- a/tests/gang_stories.py
+++ b/tests/gang_stories.py
@@ -25,7 +25,7 @@
     return spec(uid, tasks=tasks, **values)
 
 
-def fresh(members: tuple[str, ...] = MEMBERS, machines: int = 12, **settings: Any) -> World:
+def started_world(members: tuple[str, ...] = MEMBERS, machines: int = 12, **settings: Any) -> World:
     settings.setdefault("cpus_max", 100.0)
     world = World(machines=machines, members=members, **settings)
     world.run(4.0)
@@ -57,7 +57,7 @@
 
 
 def running(members: tuple[str, ...] = MEMBERS, machines: int = 12, **changes: Any) -> World:
-    world = fresh(members, machines)
+    world = started_world(members, machines)
     world.submit(gang(**changes))
     world.until(lambda: UID in world.running_gangs(), 20)
     return world
@@ -80,7 +80,7 @@
 
 
 def in_phase(members: tuple[str, ...], phase: str) -> World:
-    world = fresh(members)
+    world = started_world(members)
     if phase == "fetching":
         world.fetch_s = 4.0
     world.submit(gang(estimate_s=25.0, save_s=1.5))
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -13,11 +13,11 @@
     busy,
     calm,
     end_of,
-    fresh,
     go_on,
     leader,
     out_of_reach,
     send,
+    started_world,
     submit,
 )
 from failing_parts import CLUSTER_SIZES, capture_reports, resend_report
@@ -124,7 +124,7 @@
     members: tuple[str, ...], how: str
 ) -> None:
     """What was cancelled may still run where nobody can ask: it counts until it surely ended."""
-    world = fresh(members, 12, cpus_max=8.0)
+    world = started_world(members, 12, cpus_max=8.0)
     for n in range(TEAMS):
         world.submit(spec(f"j-00000{n}", tasks=4, team=f"team-{n}", estimate_s=200.0))
     world.until(lambda: len(world.on_machines()) == 4 * TEAMS, 20)
@@ -186,7 +186,7 @@
 
 @CLUSTER_SIZES
 def test_tasks_that_end_far_apart_across_a_change_of_leader(members: tuple[str, ...]) -> None:
-    world = fresh(members)
+    world = started_world(members)
     lengths = {0: 1.0, 1: 9.0, 2: 18.0}
     for n in range(6):
         submit(
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -6,7 +6,7 @@
 """
 
 import pytest
-from combined_failures import TEAMS, busy, calm, end_of, fresh, leader, send, submit
+from combined_failures import TEAMS, busy, calm, end_of, leader, send, started_world, submit
 from failing_parts import CLUSTER_SIZES
 from world import LEASE_S, spec
 
@@ -32,7 +32,7 @@
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(
     members: tuple[str, ...],
 ) -> None:
-    world = fresh(members, 2)
+    world = started_world(members, 2)
     world.capacity = 12
     world.late_writes = 0.5
     for n in range(TEAMS):
@@ -76,7 +76,7 @@
 
 @CLUSTER_SIZES
 def test_more_work_than_room_urgent_and_not_over_slow_links(members: tuple[str, ...]) -> None:
-    world = fresh(members, 5)
+    world = started_world(members, 5)
     world.link_delay_s = 0.25
     for n in range(12):
         submit(
@@ -102,7 +102,7 @@
 
 @CLUSTER_SIZES
 def test_jobs_bound_to_one_zone_lose_machines(members: tuple[str, ...]) -> None:
-    world = fresh(members, 12)
+    world = started_world(members, 12)
     for n, zone in enumerate("abc"):
         world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", zone=zone, service=True))
         world.submit(spec(f"j-00001{n}", tasks=3, team=f"team-{n}", zone=zone, estimate_s=15.0))
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from combined_failures import TEAMS, busy, calm, end_of, fresh, leader, send, submit
+from combined_failures import TEAMS, busy, calm, end_of, leader, send, started_world, submit
 from failing_parts import CLUSTER_SIZES
 from world import CANCEL_S, MEMBERS, spec
 
@@ -47,7 +47,7 @@
 def test_requests_meet_the_end_of_a_job_s_last_task(members: tuple[str, ...]) -> None:
     """Nothing else is wrong: a cancellation, a question and a repeated submission, within
     milliseconds before and after the last task ends."""
-    world = fresh(members)
+    world = started_world(members)
     for n in range(24):
         uid = f"j-0001{n:02d}"
         job = spec(uid, tasks=1 + n % 2, team=f"team-{n % TEAMS}", estimate_s=1.0)
@@ -74,7 +74,7 @@
 
 
 def test_one_task_jobs_four_a_second_for_minutes_a_quarter_of_them_cancelled() -> None:
-    world = fresh(MEMBERS, 9)
+    world = started_world(MEMBERS, 9)
     for n in range(480):
         uid = f"j-{n:06d}"
         submit(
@@ -189,7 +189,7 @@
 @CLUSTER_SIZES
 def test_close_looks_at_all_nodes_find_nothing_older(members: tuple[str, ...]) -> None:
     """Questions, repeated submissions and cancellations within milliseconds after each answer."""
-    world = fresh(members)
+    world = started_world(members)
     looked = [0]
 
     def look(uid: str) -> None:
@@ -235,7 +235,7 @@
     members: tuple[str, ...],
 ) -> None:
     """On the way to another, and on the way back, one every tenth of a second; then an outage."""
-    world = fresh(members, 12)
+    world = started_world(members, 12)
     for n in range(60):
         submit(
             world,
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -8,7 +8,6 @@
 from gang_stories import (
     UID,
     after,
-    fresh,
     gang,
     in_phase,
     machines_of,
@@ -17,6 +16,7 @@
     running,
     runs,
     stages,
+    started_world,
     work_of,
 )
 from test_faulty_jobs_and_late_writes import owner_of_job
@@ -29,7 +29,7 @@
 def test_a_task_lost_before_the_start_is_replaced_under_the_same_attempt(
     members: tuple[str, ...],
 ) -> None:
-    world = fresh(members)
+    world = started_world(members)
     world.fetch_s = 3.0
     world.submit(gang(tasks=3, spread=False))
     world.until(
@@ -47,7 +47,7 @@
 
 
 def test_a_gang_that_is_not_complete_in_time_backs_off_and_says_why() -> None:
-    world = fresh(machines=12)
+    world = started_world(machines=12)
     world.submit(gang(tasks=2))
     world.until(lambda: bool(machines_of(world)), 5)
     work = work_of(world)
@@ -70,7 +70,7 @@
 
 def test_images_slower_than_the_wait_do_not_keep_a_gang_from_starting() -> None:
     """Those that have theirs give up waiting; what still fetches goes on, and they come again."""
-    world = fresh(machines=12)
+    world = started_world(machines=12)
     world.fetch_s = GANG_WAIT_S + 4.0
     world.submit(gang(tasks=4))
     world.run(1.0)
@@ -190,7 +190,7 @@
 
 def test_replicas_stop_a_whole_gang_and_an_array_s_task_stops_none() -> None:
     """A task of an array would stop many for one, again and again: they fill other gaps."""
-    world = fresh(machines=3)
+    world = started_world(machines=3)
     world.submit(gang(tasks=2, rank=2, estimate_s=60.0, together=False))
     world.until(lambda: UID in world.running_gangs(), 20)
     many = 6  # all that there is room for, whoever's share it is
@@ -208,7 +208,7 @@
 
 
 def test_a_gang_takes_the_room_of_lesser_work_for_all_or_stops_nobody() -> None:
-    world = fresh(machines=3)
+    world = started_world(machines=3)
     world.submit(spec("j-000021", tasks=6, team="team-1", rank=3, estimate_s=60.0))
     world.until(lambda: len(world.on_machines()) == 6, 15)
     world.submit(gang(tasks=8, rank=1, together=False))
@@ -220,7 +220,7 @@
 
 
 def test_a_notice_of_one_machine_stops_the_whole_in_time_to_save() -> None:
-    world = fresh(machines=12)
+    world = started_world(machines=12)
     for worker in world.workers.values():
         worker.spot = False
     world.submit(gang(estimate_s=40.0, spot=True))
@@ -305,7 +305,7 @@
 
 
 def test_a_failing_gang_is_tried_as_a_whole_and_ever_more_seldom() -> None:
-    world = fresh()
+    world = started_world()
     world.failing_jobs.add(UID)
     world.submit(gang(tasks=3))
     world.run(30.0)
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -2,7 +2,7 @@
 
 from combined_failures import submit
 from failing_parts import CLUSTER_SIZES
-from gang_stories import UID, fresh, gang, machines_of, node_of_team, runs, work_of
+from gang_stories import UID, gang, machines_of, node_of_team, runs, started_world, work_of
 from world import World, spec
 
 from runcourse.core.leader.demand import LoadReport, share_load
@@ -11,7 +11,7 @@
 
 @CLUSTER_SIZES
 def test_a_gang_runs_as_a_whole_in_one_zone_with_one_attempt(members: tuple[str, ...]) -> None:
-    world = fresh(members)
+    world = started_world(members)
     world.submit(gang())
     world.until(lambda: UID in world.running_gangs(), 5)
     assert len({w.zone for w in machines_of(world)}) == 1 and len(machines_of(world)) == 4
@@ -21,7 +21,7 @@
 
 
 def test_without_room_for_all_none_starts_and_nobody_is_kept_from_the_room() -> None:
-    world = fresh(machines=3)  # one machine a zone: two tasks each
+    world = started_world(machines=3)  # one machine a zone: two tasks each
     world.submit(gang())
     world.run(3.0)
     assert not world.starts
@@ -33,7 +33,7 @@
 
 
 def test_over_several_zones_if_the_job_allows_it() -> None:
-    world = fresh(machines=12)
+    world = started_world(machines=12)
     world.submit(gang(tasks=9, together=False, spread=True))
     world.until(lambda: UID in world.running_gangs(), 40)
     zones = [w.zone for w in machines_of(world)]
@@ -53,7 +53,7 @@
 
 
 def test_the_zone_whose_slowest_image_is_there_soonest() -> None:
-    world = fresh(machines=15)
+    world = started_world(machines=15)
     world.submit(gang("j-000010", tasks=2, image="other"))
     world.until(lambda: world.poll("j-000010") == "done", 30)
     node = node_of_team(world)
@@ -64,7 +64,7 @@
 
 
 def test_a_whole_gang_keeps_to_its_team_s_limit() -> None:
-    world = fresh(cpus_max=8.0)
+    world = started_world(cpus_max=8.0)
     assert world.submit(gang("j-000003", tasks=5)) == 422
     world.submit(spec("j-000004", tasks=1, team="team-1", estimate_s=5.0))
     world.run(2.0)
@@ -76,7 +76,7 @@
 
 
 def test_room_is_hired_for_a_gang_in_one_zone() -> None:
-    world = fresh(machines=3)
+    world = started_world(machines=3)
     world.capacity = 12
     world.submit(gang())
     world.until(lambda: UID in world.running_gangs(), 30)
@@ -85,7 +85,7 @@
 
 
 def test_what_comes_up_in_several_zones_is_of_no_use_to_a_gang_in_one() -> None:
-    world = fresh(machines=3)
+    world = started_world(machines=3)
     node = node_of_team(world)
     world.submit(gang(tasks=6))
     world.run(1.0)
@@ -112,7 +112,7 @@
 def test_machines_of_another_share_make_up_for_what_a_zone_lacks() -> None:
     """Its own share has room for a part in that zone; an empty machine of another is the rest.
     Found by the random interleavings: only zones with empty machines for the whole counted."""
-    world = fresh(machines=6)  # two machines a zone, dealt to three shares
+    world = started_world(machines=6)  # two machines a zone, dealt to three shares
     node = node_of_team(world)
     share = node.shares.of_team("team-1")  # type: ignore[arg-type]
     by_zone: dict[str, set[int]] = {}
@@ -129,7 +129,7 @@
 
 def test_gangs_and_single_tasks_do_not_starve_each_other() -> None:
     """A stream of arrays that alone would take each place that falls free."""
-    world = fresh(machines=6)
+    world = started_world(machines=6)
     world.submit(spec("j-000099", tasks=12, team="team-1", estimate_s=4.0))
     world.run(2.0)
     world.submit(gang(rank=1, tasks=4))
