--- a/tests/gang_stories.py
+++ b/tests/gang_stories.py
@@ -52,7 +52,7 @@
     }
 
 
-def runs(world: World, uid: str = UID) -> int:
+def run_count(world: World, uid: str = UID) -> int:
     return sum(job == uid for _, job, _ in world.gang_runs)
 
 
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -13,8 +13,8 @@
     machines_of,
     node_of,
     node_of_team,
+    run_count,
     running,
-    runs,
     stages,
     started_world,
     work_of,
@@ -43,7 +43,7 @@
     world.until(lambda: UID in world.running_gangs(), 40)
     assert world.gang_runs[-1][2] == attempt, "the others waited on"
     world.until(lambda: world.poll(UID) == "done", 30)
-    assert runs(world) == 1 and not world.violations
+    assert run_count(world) == 1 and not world.violations
 
 
 def test_a_gang_that_is_not_complete_in_time_backs_off_and_says_why() -> None:
@@ -109,7 +109,7 @@
     calm(world)
     assert world.last_stages[UID] == "done"
     if how in ("die", "blink", "sick"):
-        assert runs(world) >= 2
+        assert run_count(world) >= 2
         assert world.gang_runs[-1][2] > world.gang_runs[0][2], "a new attempt, a higher number"
 
 
@@ -129,7 +129,7 @@
     assert world.now > 2.0
     world.run(20.0)
     calm(world)
-    assert runs(world) == 2
+    assert run_count(world) == 2
 
 
 def test_a_running_gang_that_lost_a_task_ends_whoever_notices() -> None:
@@ -158,7 +158,7 @@
     world.until(lambda: not machines_of(world), GANG_PEER_S + 2.0)
     assert 6.0 < world.progress[UID] < 8.0, "saved, not the checkpoint at 4"
     world.until(lambda: UID in world.running_gangs(), 20)
-    assert runs(world) == 2 and not world.violations
+    assert run_count(world) == 2 and not world.violations
 
 
 def test_who_is_ready_first_in_an_orderly_stop_cuts_nobody_s_saving_short() -> None:
@@ -196,14 +196,14 @@
     many = 6  # all that there is room for, whoever's share it is
     world.submit(spec("j-000020", tasks=many, team="team-1", rank=1, estimate_s=8.0))
     world.until(lambda: world.poll("j-000020") == "done", 40)
-    assert runs(world) == 1 and UID in world.running_gangs()
+    assert run_count(world) == 1 and UID in world.running_gangs()
     world.submit(spec("j-000021", tasks=many, team="team-1", rank=0, service=True))
     world.until(lambda: len(machines_of(world, "j-000021")) == many, 20)
     first = next(iter(world.gangs.values()))
     assert first.over and world.progress[UID] > 4.0, "all of it, with what it had done"
     assert len({id(w) for w in machines_of(world)}) <= 1, "it may go on elsewhere, as a whole"
     assert world.cancel("j-000021") == "cancelled"
-    world.until(lambda: runs(world) == 2, 20)
+    world.until(lambda: run_count(world) == 2, 20)
     assert not world.violations
 
 
@@ -261,7 +261,7 @@
     calm(world)
     assert world.last_stages[UID] == "done"
     if phase == "running":
-        assert runs(world) == 1, "not stopped needlessly"
+        assert run_count(world) == 1, "not stopped needlessly"
     if phase in ("fetching", "waiting", "running"):
         assert world.gang_runs[0][2] == attempt, "it went on with the attempt it had"
 
@@ -275,7 +275,7 @@
     world.run(3.0)
     old = [(m, r) for m, r in seen if any(e.task.job == UID for e in r.tasks)]
     machines_of(world)[0].restart_without_state()
-    world.until(lambda: runs(world) == 2, 30)
+    world.until(lambda: run_count(world) == 2, 30)
     assert old
     for member, report in old:
         resend_report(world, member, report)
@@ -284,7 +284,7 @@
         for m in members:
             resend_report(world, m, report)
     calm(world)
-    assert runs(world) == 2 and world.last_stages[UID] == "done"
+    assert run_count(world) == 2 and world.last_stages[UID] == "done"
 
 
 def test_one_done_says_of_all_and_is_stored_once() -> None:
@@ -309,10 +309,10 @@
     world.failing_jobs.add(UID)
     world.submit(gang(tasks=3))
     world.run(30.0)
-    tries = runs(world)
+    tries = run_count(world)
     assert tries >= 2
     world.run(40.0)
-    assert runs(world) - tries <= 3
+    assert run_count(world) - tries <= 3
     assert world.cancel(UID) == "cancelled"
     world.run(CANCEL_S + 2.0)
     assert not machines_of(world) and not world.violations
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -2,7 +2,7 @@
 
 from combined_failures import submit
 from failing_parts import CLUSTER_SIZES
-from gang_stories import UID, gang, machines_of, node_of_team, runs, started_world, work_of
+from gang_stories import UID, gang, machines_of, node_of_team, run_count, started_world, work_of
 from world import World, spec
 
 from runcourse.core.leader.demand import LoadReport, share_load
@@ -17,7 +17,7 @@
     assert len({w.zone for w in machines_of(world)}) == 1 and len(machines_of(world)) == 4
     assert len({attempt for _, _, attempt in world.gang_runs}) == 1
     world.until(lambda: world.poll(UID) == "done", 20)
-    assert runs(world) == 1 and not world.violations
+    assert run_count(world) == 1 and not world.violations
 
 
 def test_without_room_for_all_none_starts_and_nobody_is_kept_from_the_room() -> None:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -12,7 +12,7 @@
 import pytest
 from combined_failures import calm, leader, send, submit
 from failing_parts import CLUSTER_SIZES
-from gang_stories import gang, runs
+from gang_stories import gang, run_count
 from mixed_versions import LEAST, LEAST_OPS, back, busy, mixed, noted
 from test_cancellations import apart, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
@@ -182,7 +182,7 @@
     for n in range(8):
         submit(world, spec(f"j-00030{n}", tasks=5, team=f"team-{n % 4}", estimate_s=2.0), "n0")
     world.run(10.0)
-    assert not world.state.too_large and runs(world, "j-000050") == 1
+    assert not world.state.too_large and run_count(world, "j-000050") == 1
     calm(world)
 
 
