--- a/tests/gang_stories.py
+++ b/tests/gang_stories.py
@@ -56,7 +56,9 @@
     return sum(job == uid for _, job, _ in world.gang_runs)
 
 
-def running(members: tuple[str, ...] = MEMBERS, machines: int = 12, **changes: Any) -> World:
+def world_with_running_gang(
+    members: tuple[str, ...] = MEMBERS, machines: int = 12, **changes: Any
+) -> World:
     world = started_world(members, machines)
     world.submit(gang(**changes))
     world.until(lambda: UID in world.running_gangs(), 20)
@@ -73,7 +75,7 @@
 
 def after(run_s: float) -> tuple[World, Node, list[Placement]]:
     """A gang that has run for so long, its owner, and its tasks as that sees them."""
-    world = running(estimate_s=30.0)
+    world = world_with_running_gang(estimate_s=30.0)
     world.run(run_s)
     node = node_of(world)
     return world, node, node.fleet.placements.of_job(UID)  # type: ignore[arg-type]
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -14,10 +14,10 @@
     node_of,
     node_of_team,
     run_count,
-    running,
     stages,
     started_world,
     work_of,
+    world_with_running_gang,
 )
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, GANG_PEER_S, GANG_WAIT_S, LEASE_S, MEMBERS, spec
@@ -87,7 +87,7 @@
 @CLUSTER_SIZES
 @pytest.mark.parametrize("how", ["die", "hang", "blink", "mute", "deaf", "sick"])
 def test_a_task_of_a_running_gang_is_lost(members: tuple[str, ...], how: str) -> None:
-    world = running(members, estimate_s=20.0)
+    world = world_with_running_gang(members, estimate_s=20.0)
     world.run(6.0)
     victim = machines_of(world)[0]
     if how == "die":
@@ -115,7 +115,7 @@
 
 def test_no_new_attempt_while_a_task_of_the_old_one_may_be_there() -> None:
     """Its machine is cut off and runs on: elsewhere, and in another zone, nothing starts."""
-    world = running(estimate_s=30.0)
+    world = world_with_running_gang(estimate_s=30.0)
     world.run(2.5)
     cut = machines_of(world)[0]
     world.cut_links.update(frozenset((cut.id, m)) for m in MEMBERS)
@@ -135,7 +135,7 @@
 def test_a_running_gang_that_lost_a_task_ends_whoever_notices() -> None:
     """The owner that was told, or one that took over later and finds a task of it nowhere."""
     for told in (True, False):
-        world = running(estimate_s=60.0)
+        world = world_with_running_gang(estimate_s=60.0)
         world.run(2.5)
         node, work = node_of(world), work_of(world)
         assert work.started
@@ -270,7 +270,7 @@
 def test_copies_of_reports_of_an_old_attempt_change_nothing(members: tuple[str, ...]) -> None:
     from failing_parts import capture_reports, resend_report
 
-    world = running(members, estimate_s=25.0)
+    world = world_with_running_gang(members, estimate_s=25.0)
     seen = capture_reports(world)
     world.run(3.0)
     old = [(m, r) for m, r in seen if any(e.task.job == UID for e in r.tasks)]
@@ -288,7 +288,7 @@
 
 
 def test_one_done_says_of_all_and_is_stored_once() -> None:
-    world = running(estimate_s=3.0)
+    world = world_with_running_gang(estimate_s=3.0)
     changes = [0]
     serve = world.state.serve
 
