--- a/tests/gang_stories.py
+++ b/tests/gang_stories.py
@@ -46,7 +46,7 @@
     return [w for task, w in world.on_machines() if task.job == uid]
 
 
-def stages(world: World, uid: str = UID) -> set[str]:
+def task_stages(world: World, uid: str = UID) -> set[str]:
     return {
         e[0] for w in world.workers.values() for (task, _), e in w.tasks.items() if task.job == uid
     }
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -14,8 +14,8 @@
     node_of,
     node_of_team,
     run_count,
-    stages,
     started_world,
+    task_stages,
     work_of,
     world_with_running_gang,
 )
@@ -79,7 +79,7 @@
     world.workers[min(first)].images.add("img")  # there it is at once
     attempt = work_of(world).attempt
     world.run(GANG_WAIT_S + 1.0)
-    assert "fetching" in stages(world) and work_of(world).attempt == attempt
+    assert "fetching" in task_stages(world) and work_of(world).attempt == attempt
     world.until(lambda: UID in world.running_gangs(), 60)
     assert not world.violations
 
@@ -154,7 +154,7 @@
     world, node, members = after(6.5)
     node.scheduler.gangs.stop(members[0])
     world.run(0.5)
-    assert stages(world) == {"saving"}
+    assert task_stages(world) == {"saving"}
     world.until(lambda: not machines_of(world), GANG_PEER_S + 2.0)
     assert 6.0 < world.progress[UID] < 8.0, "saved, not the checkpoint at 4"
     world.until(lambda: UID in world.running_gangs(), 20)
