--- a/tests/gang_stories.py
+++ b/tests/gang_stories.py
@@ -81,7 +81,7 @@
     return world, node, node.fleet.placements.of_job(UID)  # type: ignore[arg-type]
 
 
-def in_phase(members: tuple[str, ...], phase: str) -> World:
+def world_with_gang_in_phase(members: tuple[str, ...], phase: str) -> World:
     world = started_world(members)
     if phase == "fetching":
         world.fetch_s = 4.0
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -9,7 +9,6 @@
     UID,
     after,
     gang,
-    in_phase,
     machines_of,
     node_of,
     node_of_team,
@@ -17,6 +16,7 @@
     started_world,
     task_stages,
     work_of,
+    world_with_gang_in_phase,
     world_with_running_gang,
 )
 from test_faulty_jobs_and_late_writes import owner_of_job
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize("phase", ["fetching", "waiting", "running", "saving", "mates"])
 @pytest.mark.parametrize("trouble", ["none", "leader ends", "machine cut"])
 def test_cancelled_in_each_phase(members: tuple[str, ...], phase: str, trouble: str) -> None:
-    world = in_phase(members, phase)
+    world = world_with_gang_in_phase(members, phase)
     if trouble == "leader ends":
         end_of(world, leader(world) or members[0], 1.0)
     elif trouble == "machine cut" and machines_of(world):
@@ -254,7 +254,7 @@
 @pytest.mark.parametrize("phase", ["fetching", "waiting", "running", "saving", "mates"])
 @pytest.mark.parametrize("back_s", [0.2, 20.0], ids=["back at once", "taken over"])
 def test_a_takeover_in_each_phase(members: tuple[str, ...], phase: str, back_s: float) -> None:
-    world = in_phase(members, phase)
+    world = world_with_gang_in_phase(members, phase)
     attempt = work_of(world).attempt
     end_of(world, owner_of_job(world, UID), back_s)
     world.run(25.0)
