--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -48,7 +48,7 @@
     )
 
 
-def end_of(world: World, member: str, back_s: float) -> None:
+def crash_and_restart(world: World, member: str, back_s: float) -> None:
     if world.nodes[member] is not None:
         world.crash(member)
         world.after(back_s, lambda: world.start(member))
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -12,7 +12,7 @@
     TEAMS,
     busy,
     calm,
-    end_of,
+    crash_and_restart,
     go_on,
     leader,
     out_of_reach,
@@ -31,7 +31,7 @@
     world = busy(members)
     for n in range(10):
         who = leader(world) or members[n % len(members)]
-        end_of(world, who, 0.2 if n % 2 else 2.0)
+        crash_and_restart(world, who, 0.2 if n % 2 else 2.0)
         if n == 4:
             world.state.outage(True)
         if n == 6:
@@ -74,7 +74,7 @@
     members: tuple[str, ...], back_s: float
 ) -> None:
     world = busy(members)
-    end_of(world, members[0], 8.0)
+    crash_and_restart(world, members[0], 8.0)
     world.run(16.5)  # its shares are on their way back
     for member in members:
         if world.nodes[member] is not None:
@@ -180,7 +180,7 @@
         for member, report in (*early, *seen[-30:]):
             world.after(0.05 * n, lambda m=member, r=report: resend_report(world, m, r))  # type: ignore[misc]
         if n == 1:
-            end_of(world, members[0], 0.3)
+            crash_and_restart(world, members[0], 0.3)
     calm(world)
 
 
@@ -210,9 +210,9 @@
     world.run(5.0)
     who = leader(world)
     assert who is not None
-    end_of(world, who, 20.0)
+    crash_and_restart(world, who, 20.0)
     world.run(8.0)
-    end_of(world, leader(world) or members[0], 0.3)
+    crash_and_restart(world, leader(world) or members[0], 0.3)
     world.run(8.0)
     calm(world)
     again_started = [
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -6,7 +6,16 @@
 """
 
 import pytest
-from combined_failures import TEAMS, busy, calm, end_of, leader, send, started_world, submit
+from combined_failures import (
+    TEAMS,
+    busy,
+    calm,
+    crash_and_restart,
+    leader,
+    send,
+    started_world,
+    submit,
+)
 from failing_parts import CLUSTER_SIZES
 from world import LEASE_S, spec
 
@@ -42,7 +51,7 @@
     world.run(2.0)
     who = leader(world)
     assert who is not None
-    end_of(world, who, 3.0)
+    crash_and_restart(world, who, 3.0)
     world.run(12.0)
     calm(world)
     recorded = {
@@ -92,7 +101,7 @@
             members[n % len(members)],
         )
         world.run(1.0)
-    end_of(world, leader(world) or members[0], 2.0)
+    crash_and_restart(world, leader(world) or members[0], 2.0)
     world.run(20.0)
     for n in range(0, 12, 3):
         send(world, members[1], t.Cancel(0, f"j-0001{n:02d}"))
@@ -111,7 +120,7 @@
     world.capacity = 15
     for id in sorted(world.workers)[:6]:
         world.workers[id].alive = False
-    end_of(world, members[0], 1.0)
+    crash_and_restart(world, members[0], 1.0)
     world.run(20.0)
     calm(world)
 
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -8,7 +8,16 @@
 from typing import Any
 
 import pytest
-from combined_failures import TEAMS, busy, calm, end_of, leader, send, started_world, submit
+from combined_failures import (
+    TEAMS,
+    busy,
+    calm,
+    crash_and_restart,
+    leader,
+    send,
+    started_world,
+    submit,
+)
 from failing_parts import CLUSTER_SIZES
 from world import CANCEL_S, MEMBERS, spec
 
@@ -38,7 +47,7 @@
         if n % 4 == 3:
             send(world, members[n % 3], t.Cancel(0, f"j-0001{n:02d}"))
         if n == 8:
-            end_of(world, members[0], 0.3)
+            crash_and_restart(world, members[0], 0.3)
     world.run(14.0)
     calm(world)
 
@@ -120,7 +129,7 @@
                 send(world, member, t.Cancel(0, uid))
         world.run(0.6)
     if len(members) == 5:
-        end_of(world, members[0], 0.2)
+        crash_and_restart(world, members[0], 0.2)
     world.run(6.0)
     calm(world)
 
@@ -181,7 +190,7 @@
             send(world, member, t.Cancel(0, f"j-00001{n}"))
         world.run(0.7)
         send(world, members[n % 3], t.Poll(0, f"j-00001{n}"))
-    end_of(world, leader(world) or members[0], 0.5)
+    crash_and_restart(world, leader(world) or members[0], 0.5)
     world.run(CANCEL_S)
     calm(world)
 
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from combined_failures import calm, end_of, leader, send
+from combined_failures import calm, crash_and_restart, leader, send
 from failing_parts import CLUSTER_SIZES
 from gang_stories import (
     UID,
@@ -238,7 +238,7 @@
 def test_cancelled_in_each_phase(members: tuple[str, ...], phase: str, trouble: str) -> None:
     world = world_with_gang_in_phase(members, phase)
     if trouble == "leader ends":
-        end_of(world, leader(world) or members[0], 1.0)
+        crash_and_restart(world, leader(world) or members[0], 1.0)
     elif trouble == "machine cut" and machines_of(world):
         cut = machines_of(world)[0]
         world.cut_links.update(frozenset((cut.id, m)) for m in members)
@@ -256,7 +256,7 @@
 def test_a_takeover_in_each_phase(members: tuple[str, ...], phase: str, back_s: float) -> None:
     world = world_with_gang_in_phase(members, phase)
     attempt = work_of(world).attempt
-    end_of(world, owner_of_job(world, UID), back_s)
+    crash_and_restart(world, owner_of_job(world, UID), back_s)
     world.run(25.0)
     calm(world)
     assert world.last_stages[UID] == "done"
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -67,7 +67,7 @@
     raise AssertionError("no machine is handed over")
 
 
-def end_of(world: PoolWorld, member: str, back_s: float) -> None:
+def crash_and_restart(world: PoolWorld, member: str, back_s: float) -> None:
     world.crash(member)
     world.after(back_s, lambda: world.start(member))
 
@@ -241,7 +241,7 @@
     wanted = {"before": 0, "asked": 6, "first": 7, "half": 8, "last": 9}[phase]
     world.until(lambda: world.holdings()[REGISTRY] >= wanted, MINUTE_S)
     reached_before = world.holdings()[REGISTRY]
-    end_of(world, leader, 8.0)
+    crash_and_restart(world, leader, 8.0)
     if phase == "before":
         raised(world)
     lowest = 12
@@ -286,7 +286,7 @@
         raised(world)
         world.late_writes, world.lost_answers, world.duplicate_rate = 0.3, 0.3, 0.2
         for n in range(6):
-            end_of(world, members[(seed + n) % len(members)], 3.0)
+            crash_and_restart(world, members[(seed + n) % len(members)], 3.0)
             world.run(6.0)
             world.assert_rules_hold()
         world.late_writes = world.lost_answers = world.duplicate_rate = 0.0
@@ -348,7 +348,7 @@
     world.state_delay_s = 0.5
     raised(world)
     owner, _ = handed_over(world)
-    end_of(world, owner, 0.1)
+    crash_and_restart(world, owner, 0.1)
     world.state_delay_s = 0.0
     reached(world, MINUTE_S + 3 * LEASE_S)
 
