--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -75,7 +75,7 @@
     send(world, member, t.Submit(0, job.uid, job))
 
 
-def out_of_reach(world: World, ids: list[str], how: str) -> None:
+def make_unreachable(world: World, ids: list[str], how: str) -> None:
     """Machines that are cut off, hear nothing, or hang; what is sent to them may come late."""
     if how == "cut":
         world.hold_commands = True
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -15,7 +15,7 @@
     crash_and_restart,
     go_on,
     leader,
-    out_of_reach,
+    make_unreachable,
     send,
     started_world,
     submit,
@@ -58,7 +58,7 @@
 ) -> None:
     world = busy(members)
     ids = sorted(world.workers)[::2]
-    out_of_reach(world, ids, how)
+    make_unreachable(world, ids, how)
     who = leader(world)
     assert who is not None
     world.crash(who)
@@ -132,7 +132,7 @@
         submit(world, spec(f"j-00010{n}", tasks=4, team=f"team-{n}", estimate_s=3.0), members[0])
     world.run(1.0)
     ids = [w.id for _, w in world.on_machines()][::2]
-    out_of_reach(world, ids, how)
+    make_unreachable(world, ids, how)
     who = leader(world)
     assert who is not None
     world.crash(who)
