--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -87,7 +87,7 @@
             world.workers[id].hung = True
 
 
-def go_on(world: World, ids: list[str]) -> None:
+def resume_hung_workers(world: World, ids: list[str]) -> None:
     for id in ids:
         if id in world.workers:
             world.workers[id].hung = False
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -13,9 +13,9 @@
     busy,
     calm,
     crash_and_restart,
-    go_on,
     leader,
     make_unreachable,
+    resume_hung_workers,
     send,
     started_world,
     submit,
@@ -63,7 +63,7 @@
     assert who is not None
     world.crash(who)
     world.run(LEASE_S - 2.0)
-    go_on(world, ids)
+    resume_hung_workers(world, ids)
     world.run(6.0)
     calm(world)
 
@@ -141,7 +141,7 @@
         for n in range(TEAMS):
             send(world, members[(n + k) % len(members)], t.Cancel(0, f"j-00000{n}"))
     world.run(LEASE_S - 3.0)
-    go_on(world, ids)
+    resume_hung_workers(world, ids)
     world.run(CANCEL_S)
     calm(world)
 
