--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -93,7 +93,7 @@
             world.workers[id].hung = False
 
 
-def calm(world: World, limit: float = 90.0) -> None:
+def recover_and_check(world: World, limit: float = 90.0) -> None:
     """The troubles are over: what should be true of every job then."""
     world.cut_links.clear()
     world.inbound_cut.clear()
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -11,10 +11,10 @@
 from combined_failures import (
     TEAMS,
     busy,
-    calm,
     crash_and_restart,
     leader,
     make_unreachable,
+    recover_and_check,
     resume_hung_workers,
     send,
     started_world,
@@ -48,7 +48,7 @@
             t.Cancel(0, f"j-00010{n}" if n % 3 == 0 else "j-000010"),
         )
         world.run(3.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -65,7 +65,7 @@
     world.run(LEASE_S - 2.0)
     resume_hung_workers(world, ids)
     world.run(6.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -86,7 +86,7 @@
             world.after(0.5 + 2 * n, lambda m=member: world.start(m))  # type: ignore[misc]
     submit(world, spec("j-000100", tasks=4, team="team-2"), members[1])
     world.run(12.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -115,7 +115,7 @@
     for _ in range(4):
         world.run(2.0)
         deliver()
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -143,7 +143,7 @@
     world.run(LEASE_S - 3.0)
     resume_hung_workers(world, ids)
     world.run(CANCEL_S)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -158,7 +158,7 @@
     for n, member in enumerate(members):
         world.after(0.7 * n, lambda m=member: world.start(m))  # type: ignore[misc]
     world.run(5.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -181,7 +181,7 @@
             world.after(0.05 * n, lambda m=member, r=report: resend_report(world, m, r))  # type: ignore[misc]
         if n == 1:
             crash_and_restart(world, members[0], 0.3)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -214,7 +214,7 @@
     world.run(8.0)
     crash_and_restart(world, leader(world) or members[0], 0.3)
     world.run(8.0)
-    calm(world)
+    recover_and_check(world)
     again_started = [
         task
         for n, (_, task, _) in enumerate(world.starts)
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -9,9 +9,9 @@
 from combined_failures import (
     TEAMS,
     busy,
-    calm,
     crash_and_restart,
     leader,
+    recover_and_check,
     send,
     started_world,
     submit,
@@ -34,7 +34,7 @@
     submit(world, spec("j-000100", tasks=6, team="team-1"), members[0])
     send(world, members[1], t.Cancel(0, "j-000010"))
     world.run(LEASE_S + 4.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -53,7 +53,7 @@
     assert who is not None
     crash_and_restart(world, who, 3.0)
     world.run(12.0)
-    calm(world)
+    recover_and_check(world)
     recorded = {
         k.rpartition("/")[2]
         for k, (v, _, _) in world.state.data.items()
@@ -80,7 +80,7 @@
     world.cut_links.clear()
     world.deliver_held()
     world.run(2.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -106,7 +106,7 @@
     for n in range(0, 12, 3):
         send(world, members[1], t.Cancel(0, f"j-0001{n:02d}"))
     world.run(10.0)
-    calm(world, 120.0)
+    recover_and_check(world, 120.0)
 
 
 @CLUSTER_SIZES
@@ -122,7 +122,7 @@
         world.workers[id].alive = False
     crash_and_restart(world, members[0], 1.0)
     world.run(20.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -144,4 +144,4 @@
         worker.hung = False
         world.deliver_held()
         world.run(0.2)
-    calm(world)
+    recover_and_check(world)
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -11,9 +11,9 @@
 from combined_failures import (
     TEAMS,
     busy,
-    calm,
     crash_and_restart,
     leader,
+    recover_and_check,
     send,
     started_world,
     submit,
@@ -49,7 +49,7 @@
         if n == 8:
             crash_and_restart(world, members[0], 0.3)
     world.run(14.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -79,7 +79,7 @@
             send(world, member, t.Poll(0, uid))
     world.run(3.0)
     assert {"done", "cancelled"} <= set(world.last_stages.values())
-    calm(world)
+    recover_and_check(world)
 
 
 def test_one_task_jobs_four_a_second_for_minutes_a_quarter_of_them_cancelled() -> None:
@@ -101,7 +101,7 @@
         world.run(0.25)
     world.run(10.0)
     assert len(world.last_stages) == 480 and "cancelled" in world.last_stages.values()
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -131,7 +131,7 @@
     if len(members) == 5:
         crash_and_restart(world, members[0], 0.2)
     world.run(6.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -151,7 +151,7 @@
             send(world, old, t.Cancel(0, f"j-00000{n}"))
     world.run(CANCEL_S)
     assert all(world.last_stages[f"j-00001{n}"] == "cancelled" for n in range(TEAMS))
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -176,7 +176,7 @@
         for n in range(TEAMS):
             send(world, members[n % len(members)], t.Poll(0, f"j-00001{n}"))
     assert not world.violations
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -192,7 +192,7 @@
         send(world, members[n % 3], t.Poll(0, f"j-00001{n}"))
     crash_and_restart(world, leader(world) or members[0], 0.5)
     world.run(CANCEL_S)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -236,7 +236,7 @@
             send(world, members[k % len(members)], t.Poll(0, f"j-0001{max(0, n - k):02d}"))
     world.run(5.0)
     assert looked[0] >= 40
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -279,4 +279,4 @@
     world.state.outage(True)
     world.run(CANCEL_S + 3.0)
     assert not world.violations
-    calm(world)
+    recover_and_check(world)
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from combined_failures import calm, crash_and_restart, leader, send
+from combined_failures import crash_and_restart, leader, recover_and_check, send
 from failing_parts import CLUSTER_SIZES
 from gang_stories import (
     UID,
@@ -106,7 +106,7 @@
         world.after(1.0, lambda: setattr(victim, "sick", False))
     world.capacity = 16
     world.run(LEASE_S + 4.0)
-    calm(world)
+    recover_and_check(world)
     assert world.last_stages[UID] == "done"
     if how in ("die", "blink", "sick"):
         assert run_count(world) >= 2
@@ -128,7 +128,7 @@
         world.run(0.1)
     assert world.now > 2.0
     world.run(20.0)
-    calm(world)
+    recover_and_check(world)
     assert run_count(world) == 2
 
 
@@ -175,7 +175,7 @@
     # A cancellation has no time for that.
     world.cancel(UID)
     assert all(p.grace_s == 0.0 and p.forced for p in members[1:] if p.active)
-    calm(world)
+    recover_and_check(world)
 
 
 def test_one_that_cannot_be_told_makes_the_stop_a_plain_one() -> None:
@@ -185,7 +185,7 @@
     assert {p.grace_s for p in node.fleet.placements.of_job(UID)} == {0.0}  # type: ignore[arg-type]
     world.run(3.0)
     assert world.progress[UID] == 4.0
-    calm(world)
+    recover_and_check(world)
 
 
 def test_replicas_stop_a_whole_gang_and_an_array_s_task_stops_none() -> None:
@@ -247,7 +247,7 @@
         world.run(0.5)
     world.run(CANCEL_S)
     assert world.last_stages[UID] == "cancelled" and not machines_of(world)
-    calm(world)
+    recover_and_check(world)
 
 
 @CLUSTER_SIZES
@@ -258,7 +258,7 @@
     attempt = work_of(world).attempt
     crash_and_restart(world, owner_of_job(world, UID), back_s)
     world.run(25.0)
-    calm(world)
+    recover_and_check(world)
     assert world.last_stages[UID] == "done"
     if phase == "running":
         assert run_count(world) == 1, "not stopped needlessly"
@@ -283,7 +283,7 @@
     for _, report in old:
         for m in members:
             resend_report(world, m, report)
-    calm(world)
+    recover_and_check(world)
     assert run_count(world) == 2 and world.last_stages[UID] == "done"
 
 
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -10,7 +10,7 @@
 import msgspec
 import production
 import pytest
-from combined_failures import calm, leader, send, submit
+from combined_failures import leader, recover_and_check, send, submit
 from failing_parts import CLUSTER_SIZES
 from gang_stories import gang, run_count
 from mixed_versions import LEAST, LEAST_OPS, back, busy, mixed, noted
@@ -51,7 +51,7 @@
         x for x, w in world.on_machines() if any(x == task for _, task, _ in world.starts[starts:])
     }
     assert not {x for x in again if str(x.job) < "j-000020"}, "nothing that ran was started anew"
-    calm(world)
+    recover_and_check(world)
 
 
 @mixed
@@ -75,7 +75,7 @@
     world.production_members.add(members[2])
     back(world, members[2], 1.0, new=False)
     world.run(10.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @mixed
@@ -100,7 +100,7 @@
     assert world.cancel("j-000010", other) == "cancelled"
     world.start(owner)
     world.run(CANCEL_S)
-    calm(world)
+    recover_and_check(world)
 
 
 @mixed
@@ -117,7 +117,7 @@
         if member != members[0]:
             back(world, member, 0.5, new=True)
             world.run(5.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @mixed
@@ -139,7 +139,7 @@
     world.cancel("j-000011", taker)
     world.run(CANCEL_S + 5.0)
     assert not world.violations
-    calm(world)
+    recover_and_check(world)
 
 
 @mixed
@@ -168,7 +168,7 @@
             )
             send(world, members[(k + 1) % len(members)], t.Cancel(0, f"j-00001{k}"))
             world.run(2.0)
-    calm(world)
+    recover_and_check(world)
 
 
 @mixed
@@ -183,7 +183,7 @@
         submit(world, spec(f"j-00030{n}", tasks=5, team=f"team-{n % 4}", estimate_s=2.0), "n0")
     world.run(10.0)
     assert not world.state.too_large and run_count(world, "j-000050") == 1
-    calm(world)
+    recover_and_check(world)
 
 
 def test_what_production_stored_is_read() -> None:
