--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -18,7 +18,7 @@
     return world
 
 
-def busy(members: tuple[str, ...], machines: int = 12, **settings: Any) -> World:
+def loaded_world(members: tuple[str, ...], machines: int = 12, **settings: Any) -> World:
     """Each team has two replicas, an array of long tasks and a gang that run."""
     world = started_world(members, machines, **settings)
     for n in range(TEAMS):
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -25,7 +25,7 @@
 LEAST_OPS = 8
 
 
-def busy(members: tuple[str, ...], machines: int = 12) -> World:
+def loaded_world(members: tuple[str, ...], machines: int = 12) -> World:
     world = World(machines=machines, members=members, on_production=True, cpus_max=100.0)
     world.run(4.0)
     for n in range(4):
--- a/tests/test_combined_leadership.py
+++ b/tests/test_combined_leadership.py
@@ -10,9 +10,9 @@
 import pytest
 from combined_failures import (
     TEAMS,
-    busy,
     crash_and_restart,
     leader,
+    loaded_world,
     make_unreachable,
     recover_and_check,
     resume_hung_workers,
@@ -28,7 +28,7 @@
 
 @CLUSTER_SIZES
 def test_leaders_change_ten_times_also_inside_an_outage(members: tuple[str, ...]) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     for n in range(10):
         who = leader(world) or members[n % len(members)]
         crash_and_restart(world, who, 0.2 if n % 2 else 2.0)
@@ -56,7 +56,7 @@
 def test_the_leader_ends_while_machines_with_long_tasks_are_out_of_reach(
     members: tuple[str, ...], how: str
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     ids = sorted(world.workers)[::2]
     make_unreachable(world, ids, how)
     who = leader(world)
@@ -73,7 +73,7 @@
 def test_controllers_hand_over_and_back_all_end_and_one_returns(
     members: tuple[str, ...], back_s: float
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     crash_and_restart(world, members[0], 8.0)
     world.run(16.5)  # its shares are on their way back
     for member in members:
@@ -92,7 +92,7 @@
 @CLUSTER_SIZES
 def test_a_report_held_back_arrives_once_a_new_leader_has_acted(members: tuple[str, ...]) -> None:
     """Also: it arrives everywhere just as the new leader begins, and again later."""
-    world = busy(members)
+    world = loaded_world(members)
     seen = capture_reports(world)
     world.run(2.0)
     held = list(seen)
@@ -148,7 +148,7 @@
 
 @CLUSTER_SIZES
 def test_all_controllers_are_away_for_longer_than_a_lease(members: tuple[str, ...]) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     send(world, members[1], t.Cancel(0, "j-000011"))
     world.run(0.2)
     for member in members:
@@ -165,7 +165,7 @@
 def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts(
     members: tuple[str, ...],
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     seen = capture_reports(world)
     world.run(2.0)
     early = list(seen)
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -8,9 +8,9 @@
 import pytest
 from combined_failures import (
     TEAMS,
-    busy,
     crash_and_restart,
     leader,
+    loaded_world,
     recover_and_check,
     send,
     started_world,
@@ -27,7 +27,7 @@
 def test_workers_reach_no_controller_while_commands_reach_them(
     members: tuple[str, ...], how_many: str
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     ids = sorted(world.workers)
     world.outbound_cut.update(ids if how_many == "all" else ids[::3])
     world.run(1.0)
@@ -67,7 +67,7 @@
 def test_a_zone_with_workers_and_a_controller_is_cut_off(
     members: tuple[str, ...], seconds: float
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     world.hold_commands = True
     inside = {members[0], *(w.id for w in world.workers.values() if w.zone == "a")}
     outside = {*members, *world.workers, "state", "user"} - inside
@@ -129,7 +129,7 @@
 def test_a_command_or_its_answer_is_held_up_and_the_machine_goes_on(
     members: tuple[str, ...],
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     for n in range(6):
         id = sorted(world.workers)[n]
         worker = world.workers[id]
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -10,9 +10,9 @@
 import pytest
 from combined_failures import (
     TEAMS,
-    busy,
     crash_and_restart,
     leader,
+    loaded_world,
     recover_and_check,
     send,
     started_world,
@@ -29,7 +29,7 @@
 def test_changes_without_an_answer_are_carried_out_after_newer_ones(
     members: tuple[str, ...],
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     world.late_writes = 0.4
     for n in range(16):
         submit(
@@ -108,7 +108,7 @@
 def test_a_change_is_carried_out_and_only_its_answer_lost_while_others_read_it(
     members: tuple[str, ...],
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     world.lost_answers = 0.5
     for n in range(12):
         uid = f"j-0001{n:02d}"
@@ -138,7 +138,7 @@
 def test_a_leader_alone_with_workers_and_users_while_the_new_one_takes_cancellations(
     members: tuple[str, ...],
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     old = leader(world)
     assert old is not None
     world.cut_links.update(frozenset((old, o)) for o in (*members, "state") if o != old)
@@ -161,7 +161,7 @@
 ) -> None:
     """Cancelled at the very moment of the refusal, or a little later; a second after it, nobody
     has a state service. Meanwhile the workers report to the old leader."""
-    world = busy(members)
+    world = loaded_world(members)
     who = leader(world)
     assert who is not None
     world.state.refused_members.add(who)
@@ -183,7 +183,7 @@
 def test_the_state_service_answers_slowly_while_users_cancel_and_ask(
     members: tuple[str, ...],
 ) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     world.state_delay_s = 1.2
     for n in range(TEAMS):
         for member in members:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -13,7 +13,7 @@
 from combined_failures import leader, recover_and_check, send, submit
 from failing_parts import CLUSTER_SIZES
 from gang_stories import gang, run_count
-from mixed_versions import LEAST, LEAST_OPS, back, busy, mixed, noted
+from mixed_versions import LEAST, LEAST_OPS, back, loaded_world, mixed, noted
 from test_cancellations import apart, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, LEASE_S, MEMBERS, World, platform, spec
@@ -28,7 +28,7 @@
 @CLUSTER_SIZES
 @pytest.mark.parametrize("order", ["leader first", "leader last", "two at a time"])
 def test_an_orderly_roll_loses_no_task_and_no_job(members: tuple[str, ...], order: str) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     first = leader(world)
     assert first is not None
     turns = sorted(members, key=lambda m: (m == first) == (order != "leader first"))
@@ -57,7 +57,7 @@
 @mixed
 @CLUSTER_SIZES
 def test_a_process_that_dies_before_its_turn_comes_back_as_it_was(members: tuple[str, ...]) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     back(world, members[1], 1.0, new=True)
     world.run(5.0)
     back(world, members[0], 0.3, new=False)
@@ -82,7 +82,7 @@
 @CLUSTER_SIZES
 @pytest.mark.parametrize("new_takes", [True, False])
 def test_a_share_is_taken_over_by_either_version(members: tuple[str, ...], new_takes: bool) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     owner = owner_of_job(world, "j-000010")
     if not new_takes:
         back(world, owner, 0.5, new=True)
@@ -107,7 +107,7 @@
 @CLUSTER_SIZES
 def test_cancellations_are_confirmed_whatever_the_mix(members: tuple[str, ...]) -> None:
     """The former version's word is the list of cancellations that goes with its grant."""
-    world = busy(members)
+    world = loaded_world(members)
     back(world, members[0], 0.5, new=True)
     world.run(5.0)
     for n, member in enumerate(members):
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("owner_new", [True, False])
 def test_the_gap_with_mixed_nodes(members: tuple[str, ...], owner_new: bool) -> None:
     """Taken by a node of this version, while the owner, refused alone, is of either."""
-    world = busy(members)
+    world = loaded_world(members)
     owner = owner_of_job(world, "j-000011")
     taker = next(m for m in members if m != owner)
     for member in (taker, *([owner] if owner_new else [])):
@@ -145,7 +145,7 @@
 @mixed
 @CLUSTER_SIZES
 def test_troubles_while_it_rolls(members: tuple[str, ...]) -> None:
-    world = busy(members)
+    world = loaded_world(members)
     for n, member in enumerate(members):
         back(world, member, 1.0, new=True)
         if n == 0:
@@ -173,7 +173,7 @@
 
 @mixed
 def test_the_limits_come_down_after_the_upgrade() -> None:
-    world = busy(MEMBERS)
+    world = loaded_world(MEMBERS)
     for member in MEMBERS:
         back(world, member, 1.0, new=True)
         world.run(5.0)
