--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -14,7 +14,7 @@
 from runcourse.core.node import Node
 from runcourse.core.work import Work
 
-mixed = pytest.mark.skipif(
+needs_production_history = pytest.mark.skipif(
     production.checkout() is None, reason="the history of the version in production is not here"
 )
 earlier_history = pytest.mark.skipif(
--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from failing_parts import CLUSTER_SIZES
-from mixed_versions import back, earlier_history, mixed
+from mixed_versions import back, earlier_history, needs_production_history
 from world import World
 from world_pool import DEALERS, REGISTRY, PoolWorld, contended_pool, limits, recorded_pool, settings
 
@@ -202,7 +202,7 @@
     assert "the stored division names dealers, registry, the file dealers-new" in reason
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 def test_no_division_is_stored_before_everybody_reads_it(members: tuple[str, ...]) -> None:
     world = PoolWorld(members)
@@ -221,7 +221,7 @@
     assert accepted(world.apply(RAISED, 0, "n1")) == 1
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 def test_a_member_of_the_version_in_production_comes_back_in_the_middle(
     members: tuple[str, ...],
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from mixed_versions import mixed
+from mixed_versions import needs_production_history
 from test_cloud import leader
 from test_failures import ready
 from test_guards import owner_of_some
@@ -135,7 +135,7 @@
     assert len(encode(ShareLoad(share, 1e5, heard, []))) < 64 * 1024
 
 
-@mixed
+@needs_production_history
 def test_a_leader_of_the_former_version_is_told_of_all_machines_at_once() -> None:
     world = World(machines=9, on_production=True)
     world.run(5.0)
@@ -341,7 +341,7 @@
     assert len(held) == len(set(held)) == 300, "each in one share"
 
 
-@mixed
+@needs_production_history
 def test_an_upgrade_while_loads_are_told_in_pages() -> None:
     """Former leaders get every machine at once; replicas stay, and empty machines are returned."""
     with pytest.MonkeyPatch.context() as patched:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -13,7 +13,7 @@
 from combined_failures import leader, recover_and_check, send, submit
 from failing_parts import CLUSTER_SIZES
 from gang_stories import gang, run_count
-from mixed_versions import LEAST, LEAST_OPS, back, loaded_world, mixed, noted
+from mixed_versions import LEAST, LEAST_OPS, back, loaded_world, needs_production_history, noted
 from test_cancellations import apart, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, LEASE_S, MEMBERS, World, platform, spec
@@ -24,7 +24,7 @@
 from runcourse.core.jobs import job_value
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 @pytest.mark.parametrize("order", ["leader first", "leader last", "two at a time"])
 def test_an_orderly_roll_loses_no_task_and_no_job(members: tuple[str, ...], order: str) -> None:
@@ -54,7 +54,7 @@
     recover_and_check(world)
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 def test_a_process_that_dies_before_its_turn_comes_back_as_it_was(members: tuple[str, ...]) -> None:
     world = loaded_world(members)
@@ -78,7 +78,7 @@
     recover_and_check(world)
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 @pytest.mark.parametrize("new_takes", [True, False])
 def test_a_share_is_taken_over_by_either_version(members: tuple[str, ...], new_takes: bool) -> None:
@@ -103,7 +103,7 @@
     recover_and_check(world)
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 def test_cancellations_are_confirmed_whatever_the_mix(members: tuple[str, ...]) -> None:
     """The former version's word is the list of cancellations that goes with its grant."""
@@ -120,7 +120,7 @@
     recover_and_check(world)
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 @pytest.mark.parametrize("owner_new", [True, False])
 def test_the_gap_with_mixed_nodes(members: tuple[str, ...], owner_new: bool) -> None:
@@ -142,7 +142,7 @@
     recover_and_check(world)
 
 
-@mixed
+@needs_production_history
 @CLUSTER_SIZES
 def test_troubles_while_it_rolls(members: tuple[str, ...]) -> None:
     world = loaded_world(members)
@@ -171,7 +171,7 @@
     recover_and_check(world)
 
 
-@mixed
+@needs_production_history
 def test_the_limits_come_down_after_the_upgrade() -> None:
     world = loaded_world(MEMBERS)
     for member in MEMBERS:
@@ -215,7 +215,7 @@
     ], "the shares of its processes are taken at once"
 
 
-@mixed
+@needs_production_history
 def test_what_this_version_stores_is_read_by_production() -> None:
     world = World(machines=9, cpus_max=100.0)
     world.run(4.0)
