--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -17,7 +17,7 @@
 needs_production_history = pytest.mark.skipif(
     production.checkout() is None, reason="the history of the version in production is not here"
 )
-earlier_history = pytest.mark.skipif(
+needs_pre_division_history = pytest.mark.skipif(
     production.checkout(production.BEFORE_DIVISIONS, production.Earlier.name) is None,
     reason="the history of the version before divisions is not here",
 )
--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from failing_parts import CLUSTER_SIZES
-from mixed_versions import back, earlier_history, needs_production_history
+from mixed_versions import back, needs_pre_division_history, needs_production_history
 from world import World
 from world_pool import DEALERS, REGISTRY, PoolWorld, contended_pool, limits, recorded_pool, settings
 
@@ -244,7 +244,7 @@
     world.assert_rules_hold()
 
 
-@earlier_history
+@needs_pre_division_history
 @CLUSTER_SIZES
 def test_a_member_of_the_version_before_comes_back_in_the_middle(
     members: tuple[str, ...],
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from mixed_versions import earlier_history
+from mixed_versions import needs_pre_division_history
 from random_failures import ACTIONS, act
 from world import FIVE_MEMBERS, MEMBERS, World
 
@@ -42,7 +42,7 @@
     }
 
 
-@earlier_history
+@needs_pre_division_history
 @pytest.mark.parametrize("seed", range(12))
 def test_the_same_decisions_in_the_same_order_of_draws(seed: int) -> None:
     now, before = played(seed, False), played(seed, True)
