--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -36,7 +36,7 @@
     return world
 
 
-def back(world: World, member: str, seconds: float, new: bool) -> None:
+def restart_as(world: World, member: str, seconds: float, new: bool) -> None:
     world.crash(member)
     if new:
         world.production_members.discard(member)
--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from failing_parts import CLUSTER_SIZES
-from mixed_versions import back, needs_pre_division_history, needs_production_history
+from mixed_versions import needs_pre_division_history, needs_production_history, restart_as
 from world import World
 from world_pool import DEALERS, REGISTRY, PoolWorld, contended_pool, limits, recorded_pool, settings
 
@@ -196,7 +196,7 @@
     first = settings()
     renamed = tuple(msgspec.structs.replace(o, name=o.name + "-new") for o in first.organisations)
     world.entitlements = msgspec.structs.replace(first, organisations=renamed)
-    back(world, "n0", 0.5, new=True)
+    restart_as(world, "n0", 0.5, new=True)
     world.run(5.0)
     reason = refused(world.request("n0", "show"))
     assert "the stored division names dealers, registry, the file dealers-new" in reason
@@ -216,7 +216,7 @@
         world.apply(RAISED, 0, "n1")
     )
     assert "rc/division" not in world.state.data
-    back(world, "n0", 0.5, new=True)
+    restart_as(world, "n0", 0.5, new=True)
     world.run(8.0)
     assert accepted(world.apply(RAISED, 0, "n1")) == 1
 
@@ -229,7 +229,7 @@
     world = contended_pool(members)
     accepted(world.apply(RAISED, 0, "n1"))
     world.production_members.add("n0")
-    back(world, "n0", 1.0, new=False)
+    restart_as(world, "n0", 1.0, new=False)
     world.run(6.0)
     former = world.nodes["n0"]
     assert former is not None and "n0" in world.production_members
@@ -238,7 +238,7 @@
     for _ in range(15):  # it may lead, and then divides as its version does
         world.run(2.0)
         world.assert_rules_hold()
-    back(world, "n0", 1.0, new=True)
+    restart_as(world, "n0", 1.0, new=True)
     world.run(10.0)
     world.until(lambda: world.holdings_near(dealers=3, registry=9), 60)
     world.assert_rules_hold()
@@ -253,7 +253,7 @@
     accepted(world.apply(RAISED, 0, "n1"))
     for member in members:
         world.pre_division_members.add(member)
-        back(world, member, 1.0, new=False)
+        restart_as(world, member, 1.0, new=False)
         world.run(12.0)
         world.assert_rules_hold()
         known = world.nodes["n0" if member != "n0" else "n1"]
@@ -262,7 +262,7 @@
         for team in ("team-0", "team-1", "team-2", "team-3"):
             assert came.shares.of_team(team) == known.shares.of_team(team)  # type: ignore
         world.pre_division_members.clear()
-        back(world, member, 1.0, new=True)
+        restart_as(world, member, 1.0, new=True)
         world.run(4.0)
     world.until(lambda: world.holdings_near(dealers=3, registry=9), 120)
     world.assert_rules_hold()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -13,7 +13,14 @@
 from combined_failures import leader, recover_and_check, send, submit
 from failing_parts import CLUSTER_SIZES
 from gang_stories import gang, run_count
-from mixed_versions import LEAST, LEAST_OPS, back, loaded_world, needs_production_history, noted
+from mixed_versions import (
+    LEAST,
+    LEAST_OPS,
+    loaded_world,
+    needs_production_history,
+    noted,
+    restart_as,
+)
 from test_cancellations import apart, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, LEASE_S, MEMBERS, World, platform, spec
@@ -36,7 +43,7 @@
     step = 2 if order == "two at a time" and len(members) == 5 else 1
     for n in range(0, len(turns), step):
         for member in turns[n : n + step]:
-            back(world, member, 1.0, new=True)
+            restart_as(world, member, 1.0, new=True)
         for k in range(5):
             submit(
                 world,
@@ -58,22 +65,22 @@
 @CLUSTER_SIZES
 def test_a_process_that_dies_before_its_turn_comes_back_as_it_was(members: tuple[str, ...]) -> None:
     world = loaded_world(members)
-    back(world, members[1], 1.0, new=True)
+    restart_as(world, members[1], 1.0, new=True)
     world.run(5.0)
-    back(world, members[0], 0.3, new=False)
+    restart_as(world, members[0], 0.3, new=False)
     world.run(6.0)
-    back(world, members[1], 6.0, new=True)  # long enough for its share to be taken over
+    restart_as(world, members[1], 6.0, new=True)  # long enough for its share to be taken over
     world.run(14.0)
-    back(world, members[0], 6.0, new=False)
+    restart_as(world, members[0], 6.0, new=False)
     world.run(14.0)
     assert not noted(world)
     for member in members:
-        back(world, member, 1.0, new=True)
+        restart_as(world, member, 1.0, new=True)
         world.run(6.0)
     world.until(lambda: noted(world), 10)
     # Should one be put back after that: nothing breaks.
     world.production_members.add(members[2])
-    back(world, members[2], 1.0, new=False)
+    restart_as(world, members[2], 1.0, new=False)
     world.run(10.0)
     recover_and_check(world)
 
@@ -85,11 +92,11 @@
     world = loaded_world(members)
     owner = owner_of_job(world, "j-000010")
     if not new_takes:
-        back(world, owner, 0.5, new=True)
+        restart_as(world, owner, 0.5, new=True)
         world.run(4.0)
     for member in members:
         if new_takes and member != owner:
-            back(world, member, 0.5, new=True)
+            restart_as(world, member, 0.5, new=True)
             world.run(4.0)
     starts = len(world.starts)
     world.crash(owner)
@@ -108,14 +115,14 @@
 def test_cancellations_are_confirmed_whatever_the_mix(members: tuple[str, ...]) -> None:
     """The former version's word is the list of cancellations that goes with its grant."""
     world = loaded_world(members)
-    back(world, members[0], 0.5, new=True)
+    restart_as(world, members[0], 0.5, new=True)
     world.run(5.0)
     for n, member in enumerate(members):
         before = world.now
         assert world.cancel(f"j-00001{n % 4}", members[0]) == "cancelled"
         assert world.now - before < 0.6
         if member != members[0]:
-            back(world, member, 0.5, new=True)
+            restart_as(world, member, 0.5, new=True)
             world.run(5.0)
     recover_and_check(world)
 
@@ -129,7 +136,7 @@
     owner = owner_of_job(world, "j-000011")
     taker = next(m for m in members if m != owner)
     for member in (taker, *([owner] if owner_new else [])):
-        back(world, member, 0.3, new=True)
+        restart_as(world, member, 0.3, new=True)
         world.run(5.0)
     owner = owner_of_job(world, "j-000011")
     assert owner != taker
@@ -147,7 +154,7 @@
 def test_troubles_while_it_rolls(members: tuple[str, ...]) -> None:
     world = loaded_world(members)
     for n, member in enumerate(members):
-        back(world, member, 1.0, new=True)
+        restart_as(world, member, 1.0, new=True)
         if n == 0:
             world.state.outage(True)
             world.after(5.0, lambda: world.state.outage(False))
@@ -175,7 +182,7 @@
 def test_the_limits_come_down_after_the_upgrade() -> None:
     world = loaded_world(MEMBERS)
     for member in MEMBERS:
-        back(world, member, 1.0, new=True)
+        restart_as(world, member, 1.0, new=True)
         world.run(5.0)
     world.state.size_limits = (LEAST, LEAST_OPS)
     world.submit(gang("j-000050", tasks=3))
