--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -43,7 +43,7 @@
     world.after(seconds, lambda: world.start(member))
 
 
-def noted(world: World) -> bool:
+def format_stored(world: World) -> bool:
     return "rc/format" in world.state.data
 
 
@@ -90,14 +90,14 @@
     )
 
 
-def finishing(tasks: int, next_limits: dict[str, Any], noted: bool) -> tuple[Node, Work]:
+def finishing(tasks: int, next_limits: dict[str, Any], format_stored: bool) -> tuple[Node, Work]:
     node = planning(**next_limits)
     node.store.ready = True
     node.store.values["rc/share/0"] = {}
     job = node.jobs.apply_job(
         JobId("j-000001"), job_value(spec("j-000001", tasks=tasks), "accepted"), Stamp(5), 0.0
     )
-    if noted:
+    if format_stored:
         node.store.values["rc/format"] = {"version": 2}
         node.store.stamps["rc/format"] = Stamp(3)
     work = Work(job, 0)  # type: ignore[arg-type]
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -16,9 +16,9 @@
 from mixed_versions import (
     LEAST,
     LEAST_OPS,
+    format_stored,
     loaded_world,
     needs_production_history,
-    noted,
     restart_as,
 )
 from test_cancellations import apart, outage_at_cancellation
@@ -53,7 +53,7 @@
             world.run(2.0)
         assert not world.violations
     assert not world.production_members
-    world.until(lambda: noted(world), 10)
+    world.until(lambda: format_stored(world), 10)
     again = {
         x for x, w in world.on_machines() if any(x == task for _, task, _ in world.starts[starts:])
     }
@@ -73,11 +73,11 @@
     world.run(14.0)
     restart_as(world, members[0], 6.0, new=False)
     world.run(14.0)
-    assert not noted(world)
+    assert not format_stored(world)
     for member in members:
         restart_as(world, member, 1.0, new=True)
         world.run(6.0)
-    world.until(lambda: noted(world), 10)
+    world.until(lambda: format_stored(world), 10)
     # Should one be put back after that: nothing breaks.
     world.production_members.add(members[2])
     restart_as(world, members[2], 1.0, new=False)
@@ -232,7 +232,7 @@
     world.submit(spec("j-000004", tasks=1, team="team-3", estimate_s=60.0))
     world.run(6.0)
     world.cancel("j-000004")
-    world.until(lambda: noted(world), 10)
+    world.until(lambda: format_stored(world), 10)
     new = world.nodes["n1"]
     assert new is not None
     # A part, too, as of a job whose pages are too large: not read, so started anew at worst.
