--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -47,7 +47,7 @@
     return "rc/format" in world.state.data
 
 
-def planning(**next_limits: Any) -> Node:
+def node_with_next_limits(**next_limits: Any) -> Node:
     settings = platform("n0")
     state = StateSettings(
         rps=200.0, write_rps=80.0, value_kb=16.0, txn_ops=24, next=NextLimits(**next_limits)
@@ -91,7 +91,7 @@
 
 
 def finishing(tasks: int, next_limits: dict[str, Any], format_stored: bool) -> tuple[Node, Work]:
-    node = planning(**next_limits)
+    node = node_with_next_limits(**next_limits)
     node.store.ready = True
     node.store.values["rc/share/0"] = {}
     job = node.jobs.apply_job(
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -10,7 +10,7 @@
     finishing,
     flushes,
     largest,
-    planning,
+    node_with_next_limits,
 )
 from world import platform, spec
 
@@ -26,11 +26,16 @@
 
 
 def test_everything_is_planned_for_the_smaller_limits_from_the_start() -> None:
-    node = planning(write_rps=56.0, value_kb=2.0, txn_ops=8)
+    node = node_with_next_limits(write_rps=56.0, value_kb=2.0, txn_ops=8)
     assert node.context.limits == (200.0, 56.0, 2048, 8)
     assert node.store._fair_write_rate == pytest.approx(0.95 * 56.0 / 3)
-    assert planning().context.limits == (200.0, 80.0, 16384, 24)
-    assert planning(value_kb=64.0, txn_ops=99).context.limits == (200.0, 80.0, 16384, 24)
+    assert node_with_next_limits().context.limits == (200.0, 80.0, 16384, 24)
+    assert node_with_next_limits(value_kb=64.0, txn_ops=99).context.limits == (
+        200.0,
+        80.0,
+        16384,
+        24,
+    )
 
 
 def test_the_largest_submission_fits_the_least_value() -> None:
@@ -73,7 +78,7 @@
     keys = [key for commit in commits for key, _, _ in commit.then]
     assert len(keys) == len(set(keys)) <= MAX_TASKS // PART_BITS + 2
     # Read anew, they say the same.
-    fresh = planning()
+    fresh = node_with_next_limits()
     fresh.store.ready = True
     fresh.store._apply("rc/job/j-000001", job_value(work.job.spec, "accepted"), Stamp(5))
     for commit in commits:
@@ -131,7 +136,7 @@
 
 
 def test_the_record_of_teams_and_batches_of_machines_fit() -> None:
-    node = planning(value_kb=2.0, txn_ops=LEAST_OPS)
+    node = node_with_next_limits(value_kb=2.0, txn_ops=LEAST_OPS)
     many = tuple(
         _replace(node.context.platform.settings.teams[0], name=f"team-{n:04d}") for n in range(400)
     )
