--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -90,7 +90,9 @@
     )
 
 
-def finishing(tasks: int, next_limits: dict[str, Any], format_stored: bool) -> tuple[Node, Work]:
+def node_with_finished_tasks(
+    tasks: int, next_limits: dict[str, Any], format_stored: bool
+) -> tuple[Node, Work]:
     node = node_with_next_limits(**next_limits)
     node.store.ready = True
     node.store.values["rc/share/0"] = {}
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -7,9 +7,9 @@
     LEAST,
     LEAST_OPS,
     _replace,
-    finishing,
     flushes,
     largest,
+    node_with_finished_tasks,
     node_with_next_limits,
 )
 from world import platform, spec
@@ -69,7 +69,9 @@
 
 def test_the_pages_of_a_hundred_thousand_finished_tasks_fit_the_least_limits() -> None:
     every = (1 << MAX_TASKS) - 1
-    node, work = finishing(MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=True)
+    node, work = node_with_finished_tasks(
+        MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=True
+    )
     work.unstored_done_bits = every >> 1
     commits = flushes(node, work)
     for commit in commits:
@@ -89,7 +91,9 @@
 
 
 def test_pages_stay_whole_while_a_former_version_may_read_them() -> None:
-    node, work = finishing(20_000, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=False)
+    node, work = node_with_finished_tasks(
+        20_000, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=False
+    )
     work.unstored_done_bits = (1 << 16_000) | 1
     (commit,) = flushes(node, work)
     assert [key for key, _, _ in commit.then] == ["rc/done/j-000001/0"]
@@ -103,7 +107,7 @@
 
 
 def test_a_change_that_is_too_large_is_not_repeated_as_it_is() -> None:
-    node, work = finishing(
+    node, work = node_with_finished_tasks(
         20_000, {}, format_stored=False
     )  # the limit comes though nobody named it
     work.unstored_done_bits = 1 << 16_000
