--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -64,7 +64,7 @@
     return msgspec.structs.replace(struct, **changes)
 
 
-def largest(**changes: Any) -> JobSpec:
+def largest_spec(**changes: Any) -> JobSpec:
     """Every field as long as a submission may have it."""
     return spec(
         "j-" + "9" * 18,
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -8,7 +8,7 @@
     LEAST_OPS,
     _replace,
     flushes,
-    largest,
+    largest_spec,
     node_with_finished_tasks,
     node_with_next_limits,
 )
@@ -39,7 +39,7 @@
 
 
 def test_the_largest_submission_fits_the_least_value() -> None:
-    job = largest()
+    job = largest_spec()
     known = [job.types[7], job.types[9]]  # type: ignore[index]
     stored = fit_spec(job, known, LEAST)
     assert stored is not None and stored.types == tuple(known)
@@ -47,7 +47,7 @@
         assert json_size(job_value(stored, stage)) <= LEAST
     assert stored.team == job.team and stored.zone == job.zone and stored.tasks == MAX_TASKS
     assert stored.image == job.image or stored.image == name_digest(job.image)
-    wide = fit_spec(largest(), [], LEAST)
+    wide = fit_spec(largest_spec(), [], LEAST)
     assert wide is not None
     # Of other letters one takes up to twelve bytes.
     odd = spec("j-000001", lane="\U0001f600" * 200, image="\U0001f600" * 200)
