--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -115,7 +115,7 @@
         return True
 
 
-def flushes(node: Node, work: Work) -> list[t.Commit]:
+def store_all_finished(node: Node, work: Work) -> list[t.Commit]:
     """Store what is finished until nothing is left; the changes it took."""
     made: list[t.Commit] = []
     node.scheduler.finishes._unstored[work.job.uid] = work
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -7,10 +7,10 @@
     LEAST,
     LEAST_OPS,
     _replace,
-    flushes,
     largest_spec,
     node_with_finished_tasks,
     node_with_next_limits,
+    store_all_finished,
 )
 from world import platform, spec
 
@@ -73,7 +73,7 @@
         MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=True
     )
     work.unstored_done_bits = every >> 1
-    commits = flushes(node, work)
+    commits = store_all_finished(node, work)
     for commit in commits:
         assert len(commit.then) <= LEAST_OPS and len(commit.when) <= 4 * LEAST_OPS
         assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
@@ -95,12 +95,12 @@
         20_000, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=False
     )
     work.unstored_done_bits = (1 << 16_000) | 1
-    (commit,) = flushes(node, work)
+    (commit,) = store_all_finished(node, work)
     assert [key for key, _, _ in commit.then] == ["rc/done/j-000001/0"]
     # A page that production wrote larger stays where it is; what is new goes into parts.
     node.store.values["rc/format"] = {"version": 2}
     work.unstored_done_bits = 1 << 15_000
-    (commit,) = flushes(node, work)
+    (commit,) = store_all_finished(node, work)
     assert [key for key, _, _ in commit.then] == [f"rc/part/j-000001/{15_000 // PART_BITS}"]
     assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
     assert ("rc/share/0", 1) in commit.when, "and fails with the ownership"
@@ -119,7 +119,7 @@
     node.handle(node.context.now, t.Outcome(commit.tag, 400))
     assert work.unstored_done_bits and work.flush_retry_at > node.context.now + 1.0
     node.context.limits = node.context.limits._replace(value_bytes=LEAST)
-    (commit,) = flushes(node, work)
+    (commit,) = store_all_finished(node, work)
     assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
 
 
