--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -22,7 +22,7 @@
     reason="the history of the version before divisions is not here",
 )
 LEAST = 2048  # bytes of a value, the least that any deployment has announced
-LEAST_OPS = 8
+LEAST_TXN_OPS = 8
 
 
 def loaded_world(members: tuple[str, ...], machines: int = 12) -> World:
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -5,7 +5,7 @@
 import pytest
 from mixed_versions import (
     LEAST,
-    LEAST_OPS,
+    LEAST_TXN_OPS,
     _replace,
     largest_spec,
     node_with_finished_tasks,
@@ -70,12 +70,12 @@
 def test_the_pages_of_a_hundred_thousand_finished_tasks_fit_the_least_limits() -> None:
     every = (1 << MAX_TASKS) - 1
     node, work = node_with_finished_tasks(
-        MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=True
+        MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_TXN_OPS}, format_stored=True
     )
     work.unstored_done_bits = every >> 1
     commits = store_all_finished(node, work)
     for commit in commits:
-        assert len(commit.then) <= LEAST_OPS and len(commit.when) <= 4 * LEAST_OPS
+        assert len(commit.then) <= LEAST_TXN_OPS and len(commit.when) <= 4 * LEAST_TXN_OPS
         assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
     keys = [key for commit in commits for key, _, _ in commit.then]
     assert len(keys) == len(set(keys)) <= MAX_TASKS // PART_BITS + 2
@@ -92,7 +92,7 @@
 
 def test_pages_stay_whole_while_a_former_version_may_read_them() -> None:
     node, work = node_with_finished_tasks(
-        20_000, {"value_kb": 2.0, "txn_ops": LEAST_OPS}, format_stored=False
+        20_000, {"value_kb": 2.0, "txn_ops": LEAST_TXN_OPS}, format_stored=False
     )
     work.unstored_done_bits = (1 << 16_000) | 1
     (commit,) = store_all_finished(node, work)
@@ -140,7 +140,7 @@
 
 
 def test_the_record_of_teams_and_batches_of_machines_fit() -> None:
-    node = node_with_next_limits(value_kb=2.0, txn_ops=LEAST_OPS)
+    node = node_with_next_limits(value_kb=2.0, txn_ops=LEAST_TXN_OPS)
     many = tuple(
         _replace(node.context.platform.settings.teams[0], name=f"team-{n:04d}") for n in range(400)
     )
@@ -154,7 +154,7 @@
     node.rental.adoption.leading = lambda: True
     node.rental.adoption.adopt(found)
     batches = answered_batches(node)
-    assert sum(map(len, batches)) == 100 and max(map(len, batches)) == LEAST_OPS
+    assert sum(map(len, batches)) == 100 and max(map(len, batches)) == LEAST_TXN_OPS
     rows = [
         [f"type-{n:03d}" + "x" * 100, 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ["a", "b"]]
         for n in range(60)
