--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -21,7 +21,7 @@
     production.checkout(production.BEFORE_DIVISIONS, production.Earlier.name) is None,
     reason="the history of the version before divisions is not here",
 )
-LEAST = 2048  # bytes of a value, the least that any deployment has announced
+LEAST_VALUE_BYTES = 2048  # bytes of a value, the least that any deployment has announced
 LEAST_TXN_OPS = 8
 
 
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -4,8 +4,8 @@
 
 import pytest
 from mixed_versions import (
-    LEAST,
     LEAST_TXN_OPS,
+    LEAST_VALUE_BYTES,
     _replace,
     largest_spec,
     node_with_finished_tasks,
@@ -41,21 +41,21 @@
 def test_the_largest_submission_fits_the_least_value() -> None:
     job = largest_spec()
     known = [job.types[7], job.types[9]]  # type: ignore[index]
-    stored = fit_spec(job, known, LEAST)
+    stored = fit_spec(job, known, LEAST_VALUE_BYTES)
     assert stored is not None and stored.types == tuple(known)
     for stage in ("accepted", "cancelled", "done"):
-        assert json_size(job_value(stored, stage)) <= LEAST
+        assert json_size(job_value(stored, stage)) <= LEAST_VALUE_BYTES
     assert stored.team == job.team and stored.zone == job.zone and stored.tasks == MAX_TASKS
     assert stored.image == job.image or stored.image == name_digest(job.image)
-    wide = fit_spec(largest_spec(), [], LEAST)
+    wide = fit_spec(largest_spec(), [], LEAST_VALUE_BYTES)
     assert wide is not None
     # Of other letters one takes up to twelve bytes.
     odd = spec("j-000001", lane="\U0001f600" * 200, image="\U0001f600" * 200)
-    stored = fit_spec(odd, [], LEAST)
-    assert stored is not None and json_size(job_value(stored, "cancelled")) <= LEAST
-    assert fit_spec(spec("j-000001", team="\U0001f600" * 200), [], LEAST) is None
+    stored = fit_spec(odd, [], LEAST_VALUE_BYTES)
+    assert stored is not None and json_size(job_value(stored, "cancelled")) <= LEAST_VALUE_BYTES
+    assert fit_spec(spec("j-000001", team="\U0001f600" * 200), [], LEAST_VALUE_BYTES) is None
     # What fits stays as it was sent.
-    assert fit_spec(spec("j-000001"), [], LEAST) == spec("j-000001")
+    assert fit_spec(spec("j-000001"), [], LEAST_VALUE_BYTES) == spec("j-000001")
 
 
 def test_a_class_whose_name_was_shortened_keeps_its_promises() -> None:
@@ -76,7 +76,7 @@
     commits = store_all_finished(node, work)
     for commit in commits:
         assert len(commit.then) <= LEAST_TXN_OPS and len(commit.when) <= 4 * LEAST_TXN_OPS
-        assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
+        assert all(json_size(value) <= LEAST_VALUE_BYTES for _, value, _ in commit.then)
     keys = [key for commit in commits for key, _, _ in commit.then]
     assert len(keys) == len(set(keys)) <= MAX_TASKS // PART_BITS + 2
     # Read anew, they say the same.
@@ -102,7 +102,7 @@
     work.unstored_done_bits = 1 << 15_000
     (commit,) = store_all_finished(node, work)
     assert [key for key, _, _ in commit.then] == [f"rc/part/j-000001/{15_000 // PART_BITS}"]
-    assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
+    assert all(json_size(value) <= LEAST_VALUE_BYTES for _, value, _ in commit.then)
     assert ("rc/share/0", 1) in commit.when, "and fails with the ownership"
 
 
@@ -118,9 +118,9 @@
     node.context.effects.clear()
     node.handle(node.context.now, t.Outcome(commit.tag, 400))
     assert work.unstored_done_bits and work.flush_retry_at > node.context.now + 1.0
-    node.context.limits = node.context.limits._replace(value_bytes=LEAST)
+    node.context.limits = node.context.limits._replace(value_bytes=LEAST_VALUE_BYTES)
     (commit,) = store_all_finished(node, work)
-    assert all(json_size(value) <= LEAST for _, value, _ in commit.then)
+    assert all(json_size(value) <= LEAST_VALUE_BYTES for _, value, _ in commit.then)
 
 
 def answered_batches(node: Node) -> list[list[t.Write]]:
@@ -147,7 +147,9 @@
     settings = _replace(node.context.platform.settings, teams=many)
     node.context.platform = _replace(node.context.platform, settings=settings)
     _, changes = node.shares._mapping()
-    assert json_size(changes[0][1]) <= LEAST, "hashes for all, where the list is too long"
+    assert json_size(changes[0][1]) <= LEAST_VALUE_BYTES, (
+        "hashes for all, where the list is too long"
+    )
     node.fleet.types = {"m4": t.MachineType("m4", 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ())}
     ids = [MachineId(f"i-{n:06d}") for n in range(100)]
     found = [FoundMachine(id, "m4", "a", False, ShareNo(0)) for id in ids]
@@ -162,7 +164,7 @@
     assert len(node.rental.catalogue.pages(rows)) == 1, "as long as the former version may read it"
     node.store.values["rc/format"] = {"version": 2}
     pages = node.rental.catalogue.pages(rows)
-    assert max(map(json_size, pages.values())) <= LEAST
+    assert max(map(json_size, pages.values())) <= LEAST_VALUE_BYTES
     for key, page in sorted(pages.items()):
         node.store._apply(key, page, Stamp(50))
     assert len(node.fleet.types) == 60
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -14,8 +14,8 @@
 from failing_parts import CLUSTER_SIZES
 from gang_stories import gang, run_count
 from mixed_versions import (
-    LEAST,
     LEAST_TXN_OPS,
+    LEAST_VALUE_BYTES,
     format_stored,
     loaded_world,
     needs_production_history,
@@ -184,7 +184,7 @@
     for member in MEMBERS:
         restart_as(world, member, 1.0, new=True)
         world.run(5.0)
-    world.state.size_limits = (LEAST, LEAST_TXN_OPS)
+    world.state.size_limits = (LEAST_VALUE_BYTES, LEAST_TXN_OPS)
     world.submit(gang("j-000050", tasks=3))
     for n in range(8):
         submit(world, spec(f"j-00030{n}", tasks=5, team=f"team-{n % 4}", estimate_s=2.0), "n0")
