--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -30,7 +30,7 @@
     return LocalitySettings(**{**values, **changes})
 
 
-def world_with(
+def world_with_locality(
     locality: LocalitySettings, members: tuple[str, ...] = MEMBERS, each: int = 2, **changes: Any
 ) -> World:
     """`each`: machines that each share has in either of two zones; none is returned when empty."""
@@ -105,7 +105,7 @@
 
 def moving(members: tuple[str, ...] = MEMBERS, **changes: Any) -> World:
     """A world in which a move has just begun: the stop is on its way, room is reserved."""
-    world = world_with(settings("a"), members)
+    world = world_with_locality(settings("a"), members)
     array(world, tasks=1, **changes)
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(settings("b"))
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -19,7 +19,7 @@
     settings,
     tasks_of,
     under_way,
-    world_with,
+    world_with_locality,
     zones_near,
 )
 from world import CANCEL_S, World, spec
@@ -34,7 +34,7 @@
 
 @CLUSTER_SIZES
 def test_running_work_follows_its_data_one_task_at_a_time(members: tuple[str, ...]) -> None:
-    world = world_with(settings("a"), members)
+    world = world_with_locality(settings("a"), members)
     array(world, tasks=1)
     assert zones_near(world, "a"), "waiting work goes near its data at once"
     world.run(MIN_RUNTIME_S + 5.0)
@@ -54,7 +54,7 @@
         bounds: dict[str, Any] = {"flap_changes": 3, "cooldown": 120.0}
         if not damping:
             bounds = {"flap_changes": 1000, "cooldown": 1.0, "cooldown_most": 1.0}
-        world = world_with(settings("a", **bounds))
+        world = world_with_locality(settings("a", **bounds))
         array(world, tasks=1)
         for n in range(20):
             world.run(40.0)
@@ -85,7 +85,7 @@
 def test_one_burst_of_load_moves_nothing_and_lasting_heat_does() -> None:
     anywhere = Source("p", ("a",), 1.0, 1.0, 1.0, teams=("team-0",))
     hot = settings(sources=(anywhere,), load_slowdown=1.0, dwell=60.0, least_gain=1.0)
-    world = world_with(hot)
+    world = world_with_locality(hot)
     array(world, tasks=2, cpus=2.0)
     node = owner(world)
     share = node.scheduler.work[JobId(UID)].share
@@ -118,7 +118,7 @@
         settings(sources=(Source("p", (zone,), reads_gb, 10.0, 0.5, teams=("team-0",)),))
         for zone in "ab"
     )
-    world = world_with(near)
+    world = world_with_locality(near)
     array(world, **{"tasks": 2, **changes})
     before = tasks_of(world)
     world.run(MIN_RUNTIME_S + 30.0 if what == "nearly done" else 5.0)
@@ -129,7 +129,7 @@
 
 
 def test_what_has_just_begun_stays() -> None:
-    world = world_with(settings("a"))
+    world = world_with_locality(settings("a"))
     array(world, tasks=1)
     world.reload(settings("b"))
     world.run(MIN_RUNTIME_S - 5.0)
@@ -139,7 +139,7 @@
 
 
 def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
-    world = world_with(settings("a"))
+    world = world_with_locality(settings("a"))
     array(world, tasks=2, service=True, rank=0, cpus=1.0)
     assert zones_near(world, "a")
     world.run(MIN_RUNTIME_S + 5.0)
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("trouble", ["outage", "unsettled", "former version", "waiting work"])
 def test_no_moves_in_an_outage_an_unsettled_share_an_upgrade_or_a_shortage(trouble: str) -> None:
-    world = world_with(settings("a"))
+    world = world_with_locality(settings("a"))
     array(world, tasks=1)
     world.run(MIN_RUNTIME_S + 5.0)
     node = owner(world)
@@ -190,7 +190,7 @@
 
 
 def test_a_dry_run_logs_moves_and_carries_out_none() -> None:
-    world = world_with(settings("a", dry_run=True))
+    world = world_with_locality(settings("a", dry_run=True))
     array(world, tasks=1)
     world.run(MIN_RUNTIME_S + 5.0)
     before = tasks_of(world)
@@ -210,7 +210,7 @@
             )
         )
 
-    world = world_with(places("a", "b"), each=1)
+    world = world_with_locality(places("a", "b"), each=1)
     array(world, tasks=1, cpus=4.0)
     array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
     assert zones_near(world, "a") and set(tasks_of(world, "j-000002").values()) == {"b"}
@@ -381,7 +381,7 @@
     both = Source("p", ("a",), 200.0, 10.0, 0.5, teams=("team-0", "team-3"))
     near: dict[bool, float] = {}
     for fair in (True, False):
-        world = world_with(settings(sources=(both,), rebalance=False))
+        world = world_with_locality(settings(sources=(both,), rebalance=False))
         policies: list[Any] = [n.policy for n in nodes(world)]
         if not fair:
             for policy in policies:
