--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -47,7 +47,7 @@
     return world
 
 
-def array(world: World, uid: str = UID, tasks: int = 2, **changes: Any) -> None:
+def submit_array(world: World, uid: str = UID, tasks: int = 2, **changes: Any) -> None:
     values: dict[str, Any] = {"checkpoint_s": 1.0, "estimate_s": LONG_S, "save_s": 1.0}
     world.submit(spec(uid, tasks=tasks, **{**values, **changes}))
     world.until(lambda: len(tasks_of(world, uid)) >= tasks, 30)
@@ -106,7 +106,7 @@
 def moving(members: tuple[str, ...] = MEMBERS, **changes: Any) -> World:
     """A world in which a move has just begun: the stop is on its way, room is reserved."""
     world = world_with_locality(settings("a"), members)
-    array(world, tasks=1, **changes)
+    submit_array(world, tasks=1, **changes)
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(settings("b"))
     until_move(world)
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -9,7 +9,6 @@
 from failing_parts import CLUSTER_SIZES
 from locality_world import (
     UID,
-    array,
     begun,
     moves,
     moving,
@@ -17,6 +16,7 @@
     nothing_reserved,
     owner,
     settings,
+    submit_array,
     tasks_of,
     under_way,
     world_with_locality,
@@ -35,7 +35,7 @@
 @CLUSTER_SIZES
 def test_running_work_follows_its_data_one_task_at_a_time(members: tuple[str, ...]) -> None:
     world = world_with_locality(settings("a"), members)
-    array(world, tasks=1)
+    submit_array(world, tasks=1)
     assert zones_near(world, "a"), "waiting work goes near its data at once"
     world.run(MIN_RUNTIME_S + 5.0)
     assert begun(world) == 0, "nothing to gain"
@@ -55,7 +55,7 @@
         if not damping:
             bounds = {"flap_changes": 1000, "cooldown": 1.0, "cooldown_most": 1.0}
         world = world_with_locality(settings("a", **bounds))
-        array(world, tasks=1)
+        submit_array(world, tasks=1)
         for n in range(20):
             world.run(40.0)
             world.reload(settings("ab"[(n + 1) % 2], **bounds))
@@ -86,7 +86,7 @@
     anywhere = Source("p", ("a",), 1.0, 1.0, 1.0, teams=("team-0",))
     hot = settings(sources=(anywhere,), load_slowdown=1.0, dwell=60.0, least_gain=1.0)
     world = world_with_locality(hot)
-    array(world, tasks=2, cpus=2.0)
+    submit_array(world, tasks=2, cpus=2.0)
     node = owner(world)
     share = node.scheduler.work[JobId(UID)].share
     world.run(MIN_RUNTIME_S + 20.0)
@@ -119,7 +119,7 @@
         for zone in "ab"
     )
     world = world_with_locality(near)
-    array(world, **{"tasks": 2, **changes})
+    submit_array(world, **{"tasks": 2, **changes})
     before = tasks_of(world)
     world.run(MIN_RUNTIME_S + 30.0 if what == "nearly done" else 5.0)
     world.reload(far)
@@ -130,7 +130,7 @@
 
 def test_what_has_just_begun_stays() -> None:
     world = world_with_locality(settings("a"))
-    array(world, tasks=1)
+    submit_array(world, tasks=1)
     world.reload(settings("b"))
     world.run(MIN_RUNTIME_S - 5.0)
     assert begun(world) == 0
@@ -140,7 +140,7 @@
 
 def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
     world = world_with_locality(settings("a"))
-    array(world, tasks=2, service=True, rank=0, cpus=1.0)
+    submit_array(world, tasks=2, service=True, rank=0, cpus=1.0)
     assert zones_near(world, "a")
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(settings("b"))
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("trouble", ["outage", "unsettled", "former version", "waiting work"])
 def test_no_moves_in_an_outage_an_unsettled_share_an_upgrade_or_a_shortage(trouble: str) -> None:
     world = world_with_locality(settings("a"))
-    array(world, tasks=1)
+    submit_array(world, tasks=1)
     world.run(MIN_RUNTIME_S + 5.0)
     node = owner(world)
     share = node.scheduler.work[JobId(UID)].share
@@ -191,7 +191,7 @@
 
 def test_a_dry_run_logs_moves_and_carries_out_none() -> None:
     world = world_with_locality(settings("a", dry_run=True))
-    array(world, tasks=1)
+    submit_array(world, tasks=1)
     world.run(MIN_RUNTIME_S + 5.0)
     before = tasks_of(world)
     world.reload(settings("b", dry_run=True))
@@ -211,8 +211,8 @@
         )
 
     world = world_with_locality(places("a", "b"), each=1)
-    array(world, tasks=1, cpus=4.0)
-    array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
+    submit_array(world, tasks=1, cpus=4.0)
+    submit_array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
     assert zones_near(world, "a") and set(tasks_of(world, "j-000002").values()) == {"b"}
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(places("b", "a"))
