--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -50,10 +50,10 @@
 def submit_array(world: World, uid: str = UID, tasks: int = 2, **changes: Any) -> None:
     values: dict[str, Any] = {"checkpoint_s": 1.0, "estimate_s": LONG_S, "save_s": 1.0}
     world.submit(spec(uid, tasks=tasks, **{**values, **changes}))
-    world.until(lambda: len(tasks_of(world, uid)) >= tasks, 30)
+    world.until(lambda: len(running_zones(world, uid)) >= tasks, 30)
 
 
-def tasks_of(world: World, uid: str = UID) -> dict[int, str]:
+def running_zones(world: World, uid: str = UID) -> dict[int, str]:
     """Zones of the job's tasks that run, by number."""
     return {
         task.number: worker.zone
@@ -83,7 +83,7 @@
 
 
 def zones_near(world: World, *zones: str) -> bool:
-    return set(tasks_of(world).values()) <= set(zones)
+    return set(running_zones(world).values()) <= set(zones)
 
 
 def under_way(world: World) -> Migration | None:
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -15,9 +15,9 @@
     nodes,
     nothing_reserved,
     owner,
+    running_zones,
     settings,
     submit_array,
-    tasks_of,
     under_way,
     world_with_locality,
     zones_near,
@@ -40,7 +40,7 @@
     world.run(MIN_RUNTIME_S + 5.0)
     assert begun(world) == 0, "nothing to gain"
     world.reload(settings("b"))
-    world.until(lambda: zones_near(world, "b") and bool(tasks_of(world)), 120)
+    world.until(lambda: zones_near(world, "b") and bool(running_zones(world)), 120)
     assert begun(world) == 1 and nothing_reserved(world)
     assert owner(world).scheduler.migrations.counts["completed"] == 1
     assert not world.violations
@@ -120,12 +120,12 @@
     )
     world = world_with_locality(near)
     submit_array(world, **{"tasks": 2, **changes})
-    before = tasks_of(world)
+    before = running_zones(world)
     world.run(MIN_RUNTIME_S + 30.0 if what == "nearly done" else 5.0)
     world.reload(far)
     world.run(60.0)
     assert begun(world) == 0 and not world.violations
-    assert what == "nearly done" or tasks_of(world) == before
+    assert what == "nearly done" or running_zones(world) == before
 
 
 def test_what_has_just_begun_stays() -> None:
@@ -152,8 +152,8 @@
     least = 2
     for _ in range(600):
         world.run(0.2)
-        least = min(least, len(tasks_of(world)))
-        if zones_near(world, "b") and len(tasks_of(world)) == 2:
+        least = min(least, len(running_zones(world)))
+        if zones_near(world, "b") and len(running_zones(world)) == 2:
             break
     assert zones_near(world, "b") and least == 1, "never both at once"
     assert begun(world) == 2 and not world.violations
@@ -193,12 +193,12 @@
     world = world_with_locality(settings("a", dry_run=True))
     submit_array(world, tasks=1)
     world.run(MIN_RUNTIME_S + 5.0)
-    before = tasks_of(world)
+    before = running_zones(world)
     world.reload(settings("b", dry_run=True))
     world.run(60.0)
     counts = moves(world).counts
     assert counts["dry run"] == 1, "and the cooldown holds for it as well"
-    assert counts["begun"] == 0 and tasks_of(world) == before and nothing_reserved(world)
+    assert counts["begun"] == 0 and running_zones(world) == before and nothing_reserved(world)
 
 
 def test_two_tasks_that_want_each_other_s_place_stay_while_there_is_no_room() -> None:
@@ -213,14 +213,14 @@
     world = world_with_locality(places("a", "b"), each=1)
     submit_array(world, tasks=1, cpus=4.0)
     submit_array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
-    assert zones_near(world, "a") and set(tasks_of(world, "j-000002").values()) == {"b"}
+    assert zones_near(world, "a") and set(running_zones(world, "j-000002").values()) == {"b"}
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(places("b", "a"))
     world.run(120.0)
     assert begun(world) == 0 and nothing_reserved(world) and not world.violations
     # Once the one is gone the other follows its data.
     world.until(lambda: world.cancel("j-000002") == "cancelled", 10)
-    world.until(lambda: zones_near(world, "b") and bool(tasks_of(world)), 60)
+    world.until(lambda: zones_near(world, "b") and bool(running_zones(world)), 60)
     assert begun(world) == 1
 
 
@@ -228,9 +228,9 @@
 
 
 def runs_again(world: World) -> None:
-    world.until(lambda: len(tasks_of(world)) == 1, 90)
+    world.until(lambda: len(running_zones(world)) == 1, 90)
     world.run(25.0)
-    assert len(tasks_of(world)) == 1 and nothing_reserved(world)
+    assert len(running_zones(world)) == 1 and nothing_reserved(world)
     assert not world.violations
 
 
@@ -295,7 +295,7 @@
     assert free.cpus == target.type.size.cpus - target.used.cpus - size.cpus
     world.submit(spec("j-000009", tasks=20, cpus=4.0, estimate_s=1.0))
     runs_again(world)
-    assert tasks_of(world) == {0: "b"}
+    assert running_zones(world) == {0: "b"}
 
 
 def _transfer(machine: Machine, share: Any) -> Any:
@@ -311,7 +311,7 @@
     world.run(after)
     world.until(lambda: world.cancel(UID) == "cancelled", 10)
     world.run(CANCEL_S + 1.0)  # the world reports any task still there by then
-    assert not tasks_of(world) and nothing_reserved(world) and not world.violations
+    assert not running_zones(world) and nothing_reserved(world) and not world.violations
 
 
 def test_late_copies_of_the_stop_and_of_reports_start_and_stop_nothing() -> None:
@@ -319,7 +319,7 @@
     world.duplicate_rate = 1.0
     runs_again(world)
     world.run(30.0)
-    assert len(tasks_of(world)) == 1 and not world.violations
+    assert len(running_zones(world)) == 1 and not world.violations
 
 
 def test_a_target_that_may_take_nothing_new_by_then_is_left_alone() -> None:
@@ -370,7 +370,7 @@
         world.reload(settings("ab"[n % 2]))
         world.run(6.0)
     assert made <= 1 and begun(world) == 0, "the counts began anew, and nothing was begun"
-    assert len(tasks_of(world)) == 1 and not world.violations
+    assert len(running_zones(world)) == 1 and not world.violations
 
 
 # --- hot and quiet teams -----------------------------------------------------------------
@@ -396,7 +396,7 @@
                 world.submit(spec(uid, tasks=1, cpus=1.0, estimate_s=20.0, team="team-3"))
             world.run(3.0)
             if n % 3 == 0:
-                quiet_zones += tasks_of(world, uid).values()
+                quiet_zones += running_zones(world, uid).values()
         assert not world.violations and len(quiet_zones) >= 15, "it does not wait either way"
         near[fair] = quiet_zones.count("a") / len(quiet_zones)
     assert near[True] > near[False] + 0.1 and near[True] >= 0.5
