--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -74,7 +74,7 @@
     return found[0]
 
 
-def moves(world: World) -> Migrations:
+def migrations_of(world: World) -> Migrations:
     return owner(world).scheduler.migrations
 
 
@@ -87,7 +87,7 @@
 
 
 def under_way(world: World) -> Migration | None:
-    return next(iter(moves(world)._moves.values()), None)
+    return next(iter(migrations_of(world)._moves.values()), None)
 
 
 def until_move(world: World) -> Migration:
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -10,7 +10,7 @@
 from locality_world import (
     UID,
     begun,
-    moves,
+    migrations_of,
     moving,
     nodes,
     nothing_reserved,
@@ -196,7 +196,7 @@
     before = running_zones(world)
     world.reload(settings("b", dry_run=True))
     world.run(60.0)
-    counts = moves(world).counts
+    counts = migrations_of(world).counts
     assert counts["dry run"] == 1, "and the cooldown holds for it as well"
     assert counts["begun"] == 0 and running_zones(world) == before and nothing_reserved(world)
 
@@ -329,7 +329,7 @@
     world.run(0.5)
     move.target.quarantined_until = Instant(world.now + 20.0)
     world.until(lambda: under_way(world) is None, 20)
-    assert moves(world).counts["given up"] == 1 and not move.target.placements
+    assert migrations_of(world).counts["given up"] == 1 and not move.target.placements
     runs_again(world)
 
 
@@ -354,7 +354,7 @@
     assert entry[0] == "saving"
     entry[2] = world.now + 25.0
     world.until(lambda: under_way(world) is None, 20)
-    assert nothing_reserved(world) and moves(world).counts["given up"] == 1
+    assert nothing_reserved(world) and migrations_of(world).counts["given up"] == 1
     runs_again(world)
 
 
