--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -78,7 +78,7 @@
     return owner(world).scheduler.migrations
 
 
-def begun(world: World) -> int:
+def moves_begun(world: World) -> int:
     return sum(n.scheduler.migrations.counts["begun"] for n in nodes(world))
 
 
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -9,8 +9,8 @@
 from failing_parts import CLUSTER_SIZES
 from locality_world import (
     UID,
-    begun,
     migrations_of,
+    moves_begun,
     moving,
     nodes,
     nothing_reserved,
@@ -38,10 +38,10 @@
     submit_array(world, tasks=1)
     assert zones_near(world, "a"), "waiting work goes near its data at once"
     world.run(MIN_RUNTIME_S + 5.0)
-    assert begun(world) == 0, "nothing to gain"
+    assert moves_begun(world) == 0, "nothing to gain"
     world.reload(settings("b"))
     world.until(lambda: zones_near(world, "b") and bool(running_zones(world)), 120)
-    assert begun(world) == 1 and nothing_reserved(world)
+    assert moves_begun(world) == 1 and nothing_reserved(world)
     assert owner(world).scheduler.migrations.counts["completed"] == 1
     assert not world.violations
 
@@ -60,7 +60,7 @@
             world.run(40.0)
             world.reload(settings("ab"[(n + 1) % 2], **bounds))
         assert not world.violations
-        return begun(world)
+        return moves_begun(world)
 
     assert story(damping=True) <= 2
     assert story(damping=False) >= 8, "what it is without"
@@ -90,12 +90,12 @@
     node = owner(world)
     share = node.scheduler.work[JobId(UID)].share
     world.run(MIN_RUNTIME_S + 20.0)
-    assert begun(world) == 0, "not hot for long enough"
+    assert moves_begun(world) == 0, "not hot for long enough"
     if len({p.machine.id for p in node.fleet.placements.of_job(JobId(UID))}) == 1:
-        world.until(lambda: begun(world) == 1, 120)
+        world.until(lambda: moves_begun(world) == 1, 120)
         world.run(200.0)
         machines = {p.machine.id for p in node.fleet.placements.of_job(JobId(UID))}
-        assert len(machines) == 2 and begun(world) == 1, "level, and it stays so"
+        assert len(machines) == 2 and moves_begun(world) == 1, "level, and it stays so"
     assert node.shares.may_command(share) and not world.violations
 
 
@@ -124,7 +124,7 @@
     world.run(MIN_RUNTIME_S + 30.0 if what == "nearly done" else 5.0)
     world.reload(far)
     world.run(60.0)
-    assert begun(world) == 0 and not world.violations
+    assert moves_begun(world) == 0 and not world.violations
     assert what == "nearly done" or running_zones(world) == before
 
 
@@ -133,9 +133,9 @@
     submit_array(world, tasks=1)
     world.reload(settings("b"))
     world.run(MIN_RUNTIME_S - 5.0)
-    assert begun(world) == 0
+    assert moves_begun(world) == 0
     world.run(10.0)
-    assert begun(world) == 1 and not world.violations
+    assert moves_begun(world) == 1 and not world.violations
 
 
 def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
@@ -145,7 +145,7 @@
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(settings("b"))
     world.run(60.0)
-    assert begun(world) == 0, "no machine there holds the image"
+    assert moves_begun(world) == 0, "no machine there holds the image"
     for node in nodes(world):
         for machine in node.fleet.machines.values():
             machine.images["img"] = 0.2
@@ -156,7 +156,7 @@
         if zones_near(world, "b") and len(running_zones(world)) == 2:
             break
     assert zones_near(world, "b") and least == 1, "never both at once"
-    assert begun(world) == 2 and not world.violations
+    assert moves_begun(world) == 2 and not world.violations
 
 
 @pytest.mark.parametrize("trouble", ["outage", "unsettled", "former version", "waiting work"])
@@ -217,11 +217,11 @@
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(places("b", "a"))
     world.run(120.0)
-    assert begun(world) == 0 and nothing_reserved(world) and not world.violations
+    assert moves_begun(world) == 0 and nothing_reserved(world) and not world.violations
     # Once the one is gone the other follows its data.
     world.until(lambda: world.cancel("j-000002") == "cancelled", 10)
     world.until(lambda: zones_near(world, "b") and bool(running_zones(world)), 60)
-    assert begun(world) == 1
+    assert moves_begun(world) == 1
 
 
 # --- failures on the way -----------------------------------------------------------------
@@ -361,7 +361,7 @@
 def test_a_restarted_owner_does_not_move_what_was_moved_before() -> None:
     world = moving()
     runs_again(world)
-    made = begun(world)
+    made = moves_begun(world)
     member = owner(world).context.me
     for n in range(10):  # ten changes of owner in about two minutes, the source moving meanwhile
         world.crash(member)
@@ -369,7 +369,7 @@
         world.run(6.0)
         world.reload(settings("ab"[n % 2]))
         world.run(6.0)
-    assert made <= 1 and begun(world) == 0, "the counts began anew, and nothing was begun"
+    assert made <= 1 and moves_begun(world) == 0, "the counts began anew, and nothing was begun"
     assert len(running_zones(world)) == 1 and not world.violations
 
 
