--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -82,7 +82,7 @@
     return sum(n.scheduler.migrations.counts["begun"] for n in nodes(world))
 
 
-def zones_near(world: World, *zones: str) -> bool:
+def runs_only_in(world: World, *zones: str) -> bool:
     return set(running_zones(world).values()) <= set(zones)
 
 
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -16,11 +16,11 @@
     nothing_reserved,
     owner,
     running_zones,
+    runs_only_in,
     settings,
     submit_array,
     under_way,
     world_with_locality,
-    zones_near,
 )
 from world import CANCEL_S, World, spec
 
@@ -36,11 +36,11 @@
 def test_running_work_follows_its_data_one_task_at_a_time(members: tuple[str, ...]) -> None:
     world = world_with_locality(settings("a"), members)
     submit_array(world, tasks=1)
-    assert zones_near(world, "a"), "waiting work goes near its data at once"
+    assert runs_only_in(world, "a"), "waiting work goes near its data at once"
     world.run(MIN_RUNTIME_S + 5.0)
     assert moves_begun(world) == 0, "nothing to gain"
     world.reload(settings("b"))
-    world.until(lambda: zones_near(world, "b") and bool(running_zones(world)), 120)
+    world.until(lambda: runs_only_in(world, "b") and bool(running_zones(world)), 120)
     assert moves_begun(world) == 1 and nothing_reserved(world)
     assert owner(world).scheduler.migrations.counts["completed"] == 1
     assert not world.violations
@@ -141,7 +141,7 @@
 def test_replicas_move_one_of_a_job_at_a_time_where_their_image_is() -> None:
     world = world_with_locality(settings("a"))
     submit_array(world, tasks=2, service=True, rank=0, cpus=1.0)
-    assert zones_near(world, "a")
+    assert runs_only_in(world, "a")
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(settings("b"))
     world.run(60.0)
@@ -153,9 +153,9 @@
     for _ in range(600):
         world.run(0.2)
         least = min(least, len(running_zones(world)))
-        if zones_near(world, "b") and len(running_zones(world)) == 2:
+        if runs_only_in(world, "b") and len(running_zones(world)) == 2:
             break
-    assert zones_near(world, "b") and least == 1, "never both at once"
+    assert runs_only_in(world, "b") and least == 1, "never both at once"
     assert moves_begun(world) == 2 and not world.violations
 
 
@@ -213,14 +213,14 @@
     world = world_with_locality(places("a", "b"), each=1)
     submit_array(world, tasks=1, cpus=4.0)
     submit_array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
-    assert zones_near(world, "a") and set(running_zones(world, "j-000002").values()) == {"b"}
+    assert runs_only_in(world, "a") and set(running_zones(world, "j-000002").values()) == {"b"}
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(places("b", "a"))
     world.run(120.0)
     assert moves_begun(world) == 0 and nothing_reserved(world) and not world.violations
     # Once the one is gone the other follows its data.
     world.until(lambda: world.cancel("j-000002") == "cancelled", 10)
-    world.until(lambda: zones_near(world, "b") and bool(running_zones(world)), 60)
+    world.until(lambda: runs_only_in(world, "b") and bool(running_zones(world)), 60)
     assert moves_begun(world) == 1
 
 
