--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -86,13 +86,13 @@
     return set(running_zones(world).values()) <= set(zones)
 
 
-def under_way(world: World) -> Migration | None:
+def current_move(world: World) -> Migration | None:
     return next(iter(migrations_of(world)._moves.values()), None)
 
 
 def until_move(world: World) -> Migration:
     for _ in range(5000):
-        move = under_way(world)
+        move = current_move(world)
         if move is not None:
             return move
         world.run(0.02)
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -9,6 +9,7 @@
 from failing_parts import CLUSTER_SIZES
 from locality_world import (
     UID,
+    current_move,
     migrations_of,
     moves_begun,
     moving,
@@ -19,7 +20,6 @@
     runs_only_in,
     settings,
     submit_array,
-    under_way,
     world_with_locality,
 )
 from world import CANCEL_S, World, spec
@@ -262,7 +262,7 @@
 @pytest.mark.parametrize("how", ["dies", "hangs", "is deaf", "has notice"])
 def test_a_machine_is_lost_on_the_way(which: str, how: str) -> None:
     world = moving()
-    move = under_way(world)
+    move = current_move(world)
     assert move is not None
     machine = move.placement.machine if which == "source" else move.target
     worker = world.workers[str(machine.id)]
@@ -282,7 +282,7 @@
 
 def test_the_target_is_promised_to_nobody_else_and_what_is_reserved_stays_so() -> None:
     world = moving()
-    move = under_way(world)
+    move = current_move(world)
     assert move is not None
     target, node = move.target, owner(world)
     assert target.busy, "an empty target would be returned or transferred"
@@ -324,18 +324,18 @@
 
 def test_a_target_that_may_take_nothing_new_by_then_is_left_alone() -> None:
     world = moving()
-    move = under_way(world)
+    move = current_move(world)
     assert move is not None
     world.run(0.5)
     move.target.quarantined_until = Instant(world.now + 20.0)
-    world.until(lambda: under_way(world) is None, 20)
+    world.until(lambda: current_move(world) is None, 20)
     assert migrations_of(world).counts["given up"] == 1 and not move.target.placements
     runs_again(world)
 
 
 def test_the_task_may_be_done_when_the_stop_arrives() -> None:
     world = moving()
-    move = under_way(world)
+    move = current_move(world)
     assert move is not None
     worker = world.workers[str(move.placement.machine.id)]
     for (task, _), entry in worker.tasks.items():
@@ -347,13 +347,13 @@
 
 def test_a_stop_that_takes_too_long_gives_the_room_back() -> None:
     world = moving()
-    move = under_way(world)
+    move = current_move(world)
     assert move is not None
     world.run(0.5)
     (entry,) = world.workers[str(move.placement.machine.id)].tasks.values()
     assert entry[0] == "saving"
     entry[2] = world.now + 25.0
-    world.until(lambda: under_way(world) is None, 20)
+    world.until(lambda: current_move(world) is None, 20)
     assert nothing_reserved(world) and migrations_of(world).counts["given up"] == 1
     runs_again(world)
 
