--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -99,7 +99,7 @@
     raise AssertionError("no move was begun")
 
 
-def nothing_reserved(world: World) -> bool:
+def no_reservations(world: World) -> bool:
     return not any(m.reservations for n in nodes(world) for m in n.fleet.machines.values())
 
 
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -13,8 +13,8 @@
     migrations_of,
     moves_begun,
     moving,
+    no_reservations,
     nodes,
-    nothing_reserved,
     owner,
     running_zones,
     runs_only_in,
@@ -41,7 +41,7 @@
     assert moves_begun(world) == 0, "nothing to gain"
     world.reload(settings("b"))
     world.until(lambda: runs_only_in(world, "b") and bool(running_zones(world)), 120)
-    assert moves_begun(world) == 1 and nothing_reserved(world)
+    assert moves_begun(world) == 1 and no_reservations(world)
     assert owner(world).scheduler.migrations.counts["completed"] == 1
     assert not world.violations
 
@@ -198,7 +198,7 @@
     world.run(60.0)
     counts = migrations_of(world).counts
     assert counts["dry run"] == 1, "and the cooldown holds for it as well"
-    assert counts["begun"] == 0 and running_zones(world) == before and nothing_reserved(world)
+    assert counts["begun"] == 0 and running_zones(world) == before and no_reservations(world)
 
 
 def test_two_tasks_that_want_each_other_s_place_stay_while_there_is_no_room() -> None:
@@ -217,7 +217,7 @@
     world.run(MIN_RUNTIME_S + 5.0)
     world.reload(places("b", "a"))
     world.run(120.0)
-    assert moves_begun(world) == 0 and nothing_reserved(world) and not world.violations
+    assert moves_begun(world) == 0 and no_reservations(world) and not world.violations
     # Once the one is gone the other follows its data.
     world.until(lambda: world.cancel("j-000002") == "cancelled", 10)
     world.until(lambda: runs_only_in(world, "b") and bool(running_zones(world)), 60)
@@ -230,7 +230,7 @@
 def runs_again(world: World) -> None:
     world.until(lambda: len(running_zones(world)) == 1, 90)
     world.run(25.0)
-    assert len(running_zones(world)) == 1 and nothing_reserved(world)
+    assert len(running_zones(world)) == 1 and no_reservations(world)
     assert not world.violations
 
 
@@ -311,7 +311,7 @@
     world.run(after)
     world.until(lambda: world.cancel(UID) == "cancelled", 10)
     world.run(CANCEL_S + 1.0)  # the world reports any task still there by then
-    assert not running_zones(world) and nothing_reserved(world) and not world.violations
+    assert not running_zones(world) and no_reservations(world) and not world.violations
 
 
 def test_late_copies_of_the_stop_and_of_reports_start_and_stop_nothing() -> None:
@@ -342,7 +342,7 @@
         entry[0], entry[1] = "ended", "done"
         world.finished.add(task)
     world.until(lambda: world.poll(UID) == "done", 20)
-    assert nothing_reserved(world) and not world.violations
+    assert no_reservations(world) and not world.violations
 
 
 def test_a_stop_that_takes_too_long_gives_the_room_back() -> None:
@@ -354,7 +354,7 @@
     assert entry[0] == "saving"
     entry[2] = world.now + 25.0
     world.until(lambda: current_move(world) is None, 20)
-    assert nothing_reserved(world) and migrations_of(world).counts["given up"] == 1
+    assert no_reservations(world) and migrations_of(world).counts["given up"] == 1
     runs_again(world)
 
 
