--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -328,6 +328,6 @@
 ACTIONS = tuple(name for name in vars(Story) if not name.startswith("_"))
 
 
-def act(world: World, action: str, pick: int, number: int) -> None:
+def run_action(world: World, action: str, pick: int, number: int) -> None:
     """Let one thing happen."""
     getattr(Story(world, pick, number), action)()
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -7,7 +7,7 @@
 
 import pytest
 from mixed_versions import needs_pre_division_history
-from random_failures import ACTIONS, act
+from random_failures import ACTIONS, run_action
 from world import FIVE_MEMBERS, MEMBERS, World
 
 from runcourse.core.stored_values import LIVE
@@ -25,7 +25,7 @@
     plot = random.Random(seed)
     for number in range(STEPS):
         action = "submit" if number % 3 == 0 else plot.choice(ACTIONS)
-        act(world, action, plot.randrange(40), number)
+        run_action(world, action, plot.randrange(40), number)
         world.run(plot.uniform(0.05, 4.0))
     world.run(20.0)
     assert not world.violations
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 import pytest
-from random_failures import ACTIONS, act, locality
+from random_failures import ACTIONS, locality, run_action
 from world import FIVE_MEMBERS, MEMBERS, World
 
 from runcourse.config import Operators
@@ -143,8 +143,8 @@
         )
         world.run(2.0)
         for number in range(STEPS):
-            act(world, ("submit", "service", "gang")[number % 3], number, 100 + number)
-            act(world, rng.choice(ACTIONS), rng.randrange(40), number)
+            run_action(world, ("submit", "service", "gang")[number % 3], number, 100 + number)
+            run_action(world, rng.choice(ACTIONS), rng.randrange(40), number)
             if number % 5 == 2:  # the cloud will take one back, or thinks better of it
                 worker = rng.choice(list(world.workers.values()))
                 worker.notice_s = None if worker.notice_s else 20.0
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -4,7 +4,7 @@
 
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from random_failures import ACTIONS, act, locality
+from random_failures import ACTIONS, locality, run_action
 from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World
 from world_pool import CountingChecker
 from world_pool import settings as organisations
@@ -51,14 +51,14 @@
     world.run(2.0)
     if moving:
         for n in range(900, 904):
-            act(world, "long", n, n)
+            run_action(world, "long", n, n)
         world.run(3.0)
     for number, (action, pick, pause) in enumerate(script):
-        act(world, action, pick, number)
+        run_action(world, action, pick, number)
         if divided and number % 3 == 0:
-            act(world, "divide", number, number)
+            run_action(world, "divide", number, number)
         if moving and number % 2:
-            act(world, "source_moves", number // 2, number)
+            run_action(world, "source_moves", number // 2, number)
         world.run(pause)
         assert not world.violations
         assert not checker.counted_twice
