--- a/tests/production.py
+++ b/tests/production.py
@@ -73,7 +73,7 @@
 }
 
 
-class Former:
+class ProductionNode:
     """A node of that version among others: what goes in and comes out changes its type only."""
 
     def __init__(self, platform: Any, operators: Any, rng: Any, now: Any) -> None:
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -238,7 +238,7 @@
     # A part, too, as of a job whose pages are too large: not read, so started anew at worst.
     world.state.epoch += 1
     world.state.data["rc/part/j-000002/0"] = ({"bits": "ff"}, world.state.epoch, None)
-    former: Any = production.Former(
+    former: Any = production.ProductionNode(
         platform("n0"), Operators(), random.Random(1), Instant(world.now)
     )
     data = [(k, v, s) for k, (v, s, _) in sorted(world.state.data.items())]
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from production import Earlier, Former
+from production import Earlier, ProductionNode
 from world_gangs import GangSteps
 from world_rules import RuleChecks
 from world_settings import (
@@ -165,7 +165,7 @@
         now = Instant(self.now)
         # A node of the version in production has the same parts, where tests look at them.
         self.nodes[member] = (
-            Former(settings, self.operators, rng, now)  # type: ignore[assignment]
+            ProductionNode(settings, self.operators, rng, now)  # type: ignore[assignment]
             if member in self.production_members
             else Earlier(settings, self.operators, rng, now)
             if member in self.pre_division_members
