--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -18,7 +18,7 @@
     production.checkout() is None, reason="the history of the version in production is not here"
 )
 needs_pre_division_history = pytest.mark.skipif(
-    production.checkout(production.BEFORE_DIVISIONS, production.Earlier.name) is None,
+    production.checkout(production.BEFORE_DIVISIONS, production.PreDivisionNode.name) is None,
     reason="the history of the version before divisions is not here",
 )
 LEAST_VALUE_BYTES = 2048  # bytes of a value, the least that any deployment has announced
--- a/tests/production.py
+++ b/tests/production.py
@@ -133,7 +133,7 @@
         return getattr(t, _EFFECTS.get(name, name))(**values)
 
 
-class Earlier:
+class PreDivisionNode:
     """A node of the version before divisions: inputs and effects change their types only."""
 
     name = "runcourse_before_divisions"
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from production import Earlier, ProductionNode
+from production import PreDivisionNode, ProductionNode
 from world_gangs import GangSteps
 from world_rules import RuleChecks
 from world_settings import (
@@ -167,7 +167,7 @@
         self.nodes[member] = (
             ProductionNode(settings, self.operators, rng, now)  # type: ignore[assignment]
             if member in self.production_members
-            else Earlier(settings, self.operators, rng, now)
+            else PreDivisionNode(settings, self.operators, rng, now)
             if member in self.pre_division_members
             else self._node(settings, rng, now)
         )
