--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -5,7 +5,7 @@
 import pytest
 from combined_failures import crash_and_restart, leader, recover_and_check, send
 from failing_parts import CLUSTER_SIZES
-from gang_stories import (
+from gang_setup import (
     UID,
     after,
     gang,
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -2,7 +2,7 @@
 
 from combined_failures import submit
 from failing_parts import CLUSTER_SIZES
-from gang_stories import UID, gang, machines_of, node_of_team, run_count, started_world, work_of
+from gang_setup import UID, gang, machines_of, node_of_team, run_count, started_world, work_of
 from world import World, spec
 
 from runcourse.core.leader.demand import LoadReport, share_load
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from failing_parts import CLUSTER_SIZES, owner_of
-from gang_stories import machines_of
+from gang_setup import machines_of
 from world import LEASE_S, MEMBERS, World, spec
 from world_pool import (
     DEALERS,
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -12,7 +12,7 @@
 import pytest
 from combined_failures import leader, recover_and_check, send, submit
 from failing_parts import CLUSTER_SIZES
-from gang_stories import gang, run_count
+from gang_setup import gang, run_count
 from mixed_versions import (
     LEAST_TXN_OPS,
     LEAST_VALUE_BYTES,
