--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -200,7 +200,7 @@
     world.submit(spec("j-000021", tasks=many, team="team-1", rank=0, service=True))
     world.until(lambda: len(machines_of(world, "j-000021")) == many, 20)
     first = next(iter(world.gangs.values()))
-    assert first.over and world.progress[UID] > 4.0, "all of it, with what it had done"
+    assert first.ended and world.progress[UID] > 4.0, "all of it, with what it had done"
     assert len({id(w) for w in machines_of(world)}) <= 1, "it may go on elsewhere, as a whole"
     assert world.cancel("j-000021") == "cancelled"
     world.until(lambda: run_count(world) == 2, 20)
--- a/tests/world_gangs.py
+++ b/tests/world_gangs.py
@@ -14,7 +14,7 @@
     """The part of the world that lets time pass for gangs."""
 
     def running_gangs(self) -> set[str]:
-        return {str(uid) for (uid, _), gang in self.gangs.items() if not gang.over}
+        return {str(uid) for (uid, _), gang in self.gangs.items() if not gang.ended}
 
     def saves(self, order: t.Order, entry: list[Any]) -> bool:
         """A task of a running gang that is told to stop with time to save goes on doing that."""
@@ -23,7 +23,7 @@
         if (
             not job.gang
             or gang is None
-            or gang.over
+            or gang.ended
             or entry[0] not in ("running", "saving")
             or not job.checkpoint_s
             or order.grace_s < job.save_s
@@ -50,7 +50,7 @@
                     for _, _, entry in members:
                         entry[0], entry[2] = "running", self.now
         for key, gang in self.gangs.items():
-            if not gang.over:
+            if not gang.ended:
                 self._step_gang(key[0], gang, found.get(key, []))
 
     def _step_gang(
@@ -61,7 +61,7 @@
         there = [m for m in members if m[2][0] in ("running", "saving")]
 
         def end(cause: str, progress: float) -> None:
-            gang.over = True
+            gang.ended = True
             self.progress[uid] = progress
             for _, task, entry in there:
                 entry[0], entry[1] = "ended", cause
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -194,4 +194,4 @@
         self.since = now
         self.told_at: float | None = None  # the first order to stop it
         self.broken_at: float | None = None  # one of them is gone, or its machine hangs
-        self.over = False
+        self.ended = False
