--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -1,4 +1,4 @@
-"""Set-up and checks of the tests in which several failures meet."""
+"""Set-up and checks for the tests in which several failures coincide."""
 
 from typing import Any
 
@@ -7,6 +7,7 @@
 from runcourse.core import types as t
 
 TEAMS = 4
+SETTLE_S = 15.0  # from the end of the failures to the first check
 
 
 def started_world(
@@ -19,7 +20,7 @@
 
 
 def loaded_world(members: tuple[str, ...], machines: int = 12, **settings: Any) -> World:
-    """Each team has two replicas, an array of long tasks and a gang that run."""
+    """Returns a cluster in which each team runs two replicas, an array of long tasks and a gang."""
     world = started_world(members, machines, **settings)
     for n in range(TEAMS):
         world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", service=True, rank=0, cpus=1.0))
@@ -55,7 +56,7 @@
 
 
 def send(world: World, member: str, event: Any) -> None:
-    """A user's request that nobody waits for; its answer is held against those before."""
+    """Sends a user's request without waiting and checks its answer against earlier ones."""
     uid = event.uid
     known = world.last_stages.get(uid) or "unknown"
 
@@ -71,16 +72,20 @@
 
 
 def submit(world: World, job: Any, member: str) -> None:
+    """Submits a job without waiting for the answer."""
     world.specs[job.uid] = job
     send(world, member, t.Submit(0, job.uid, job))
 
 
-def make_unreachable(world: World, ids: list[str], how: str) -> None:
-    """Machines that are cut off, hear nothing, or hang; what is sent to them may come late."""
-    if how == "cut":
+def make_unreachable(world: World, ids: list[str], failure: str) -> None:
+    """Cuts machines off, drops what is sent to them, or hangs their workers.
+
+    Commands to cut or hung machines are held and may be delivered late.
+    """
+    if failure == "cut":
         world.hold_commands = True
         world.cut_links.update(frozenset((id, m)) for id in ids for m in world.members)
-    elif how == "deaf":
+    elif failure == "deaf":
         world.inbound_cut.update(ids)
     else:
         for id in ids:
@@ -94,7 +99,7 @@
 
 
 def recover_and_check(world: World, limit: float = 90.0) -> None:
-    """The troubles are over: what should be true of every job then."""
+    """Ends all failures and checks that every open job is served or ends as reported."""
     world.cut_links.clear()
     world.inbound_cut.clear()
     world.outbound_cut.clear()
@@ -109,12 +114,14 @@
         if world.nodes[member] is None:
             world.start(member)
     world.deliver_held()
-    world.run(15.0)
+    world.run(SETTLE_S)
     open_jobs = [
-        uid for uid, told in world.last_stages.items() if told not in ("cancelled", "unknown")
+        uid
+        for uid, last_stage in world.last_stages.items()
+        if last_stage not in ("cancelled", "unknown")
     ]
 
-    def served(uid: str) -> bool:
+    def is_served(uid: str) -> bool:
         job = world.specs[uid]
         if world.last_stages[uid] in ("done", "cancelled"):
             return True
@@ -122,10 +129,10 @@
             return len({x for x, _ in world.on_machines() if x.job == uid}) == job.tasks
         return world.poll(uid) in ("done", "cancelled")
 
-    world.until(lambda: all(served(uid) for uid in open_jobs), limit)
+    world.until(lambda: all(is_served(uid) for uid in open_jobs), limit)
     for member in world.members:
-        for uid, told in list(world.last_stages.items()):
+        for uid, last_stage in list(world.last_stages.items()):
             stage = world.poll(uid, member)
-            assert stage != "?" and (told not in ("done", "cancelled") or stage == told)
+            assert stage != "?" and (last_stage not in ("done", "cancelled") or stage == last_stage)
     world.run(CANCEL_S)
     assert not world.violations
--- a/tests/failing_parts.py
+++ b/tests/failing_parts.py
@@ -1,4 +1,4 @@
-"""Set-up of the tests in which a part of the system fails."""
+"""Set-up for the tests in which one part of the system fails."""
 
 from typing import Any
 
@@ -18,17 +18,17 @@
 
 
 def capture_reports(world: World) -> list[tuple[str, t.Report]]:
-    """Reports as they arrive from now on, to be sent once more later."""
-    seen: list[tuple[str, t.Report]] = []
+    """Records the reports that arrive from now on, for `resend_report`."""
+    reports: list[tuple[str, t.Report]] = []
     feed = world.feed
 
-    def noting(member: str, event: Any) -> None:
+    def record(member: str, event: Any) -> None:
         if isinstance(event, t.ReportReceived) and event.relayed_by is None:
-            seen.append((member, event.report))
+            reports.append((member, event.report))
         feed(member, event)
 
-    world.feed = noting  # type: ignore[method-assign]
-    return seen
+    world.feed = record  # type: ignore[method-assign]
+    return reports
 
 
 def resend_report(world: World, member: str, report: t.Report) -> None:
@@ -36,7 +36,9 @@
 
 
 def replacement_delay_s(members: tuple[str, ...], restarts: bool, seed: int) -> float:
-    # A patience of 7 s: beyond the 5 s between two tries of a worker that hears no answer.
+    """Returns the seconds until both replicas run elsewhere after a worker's inbound link fails."""
+    # With this lease the owner waits 7 s for a report: longer than the 5 s between two attempts of
+    # a worker that receives no answer.
     world = World(seed=seed, machines=4, members=members, cpus_max=8.0, lease_s=12.0)
     world.run(4.0)
     world.submit(spec("j-000400", service=True, tasks=2))
@@ -57,9 +59,9 @@
         ),
         14.0,
     )
-    took = world.now - since
+    delay_s = world.now - since
     assert not [1 for at, _, id in world.starts if id == worker.id and at > since + 2.0]
     world.run(20.0)
-    assert worker.id not in world.workers, "returned, after a patience as for a silent one"
+    assert worker.id not in world.workers, "returned after the same wait as a silent machine"
     assert not world.violations
-    return took
+    return delay_s
--- a/tests/gang_setup.py
+++ b/tests/gang_setup.py
@@ -1,4 +1,4 @@
-"""Set-up and look-ups of the tests on gangs."""
+"""Set-up and lookups for the tests of gangs."""
 
 from typing import Any
 
@@ -10,6 +10,7 @@
 from runcourse.core.work import Work
 
 UID = "j-000001"
+START_UP_S = 4.0
 
 
 def gang(uid: str = UID, tasks: int = 4, **changes: Any) -> Any:
@@ -26,9 +27,10 @@
 
 
 def started_world(members: tuple[str, ...] = MEMBERS, machines: int = 12, **settings: Any) -> World:
+    """Returns a cluster after its start-up phase."""
     settings.setdefault("cpus_max", 100.0)
     world = World(machines=machines, members=members, **settings)
-    world.run(4.0)
+    world.run(START_UP_S)
     return world
 
 
@@ -53,6 +55,7 @@
 
 
 def run_count(world: World, uid: str = UID) -> int:
+    """Returns how many attempts of a gang have begun to run."""
     return sum(job == uid for _, job, _ in world.gang_runs)
 
 
@@ -74,7 +77,7 @@
 
 
 def after(run_s: float) -> tuple[World, Node, list[Placement]]:
-    """A gang that has run for so long, its owner, and its tasks as that sees them."""
+    """Returns a cluster whose gang has run for `run_s`, the gang's owner and its placements."""
     world = world_with_running_gang(estimate_s=30.0)
     world.run(run_s)
     node = node_of(world)
@@ -82,6 +85,7 @@
 
 
 def world_with_gang_in_phase(members: tuple[str, ...], phase: str) -> World:
+    """Returns a cluster with a gang in the phase; "mates" means that one machine has failed."""
     world = started_world(members)
     if phase == "fetching":
         world.fetch_s = 4.0
--- a/tests/key_value.py
+++ b/tests/key_value.py
@@ -1,4 +1,4 @@
-"""What the scripted and the loopback state service both know: versions, leases, conditions."""
+"""Key-value store with revisions, leases and conditions for both simulated state services."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Entry(NamedTuple):
-    """A key's value, the revision of its latest change and the lease it is attached to."""
+    """A key's value, the revision of its latest change and its lease."""
 
     value: Any
     stamp: int
@@ -16,7 +16,7 @@
 
 
 class Change(NamedTuple):
-    """A change on record; a value of None: the key was dropped."""
+    """A logged change; a value of None means that the key was deleted."""
 
     key: str
     value: Any
@@ -24,28 +24,28 @@
 
 
 class NoSuchLease(Exception):
-    """A write names a lease that has ended."""
+    """Raised for a write that names an expired lease."""
 
 
 class KeyValueStore:
-    """The contents of a state service, on a clock in seconds."""
+    """The contents of a state service; `clock` returns seconds."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self.data: dict[str, Entry] = {}
         self.epoch = 0
         self.log: list[Change] = []
-        self.leases: dict[int, tuple[float, float]] = {}  # until when, and for how long
+        self.leases: dict[int, tuple[float, float]] = {}  # end and duration, in seconds
         self._lease_numbers = itertools.count(1)
 
     def grant(self, seconds: float) -> int:
-        """A new lease's number."""
+        """Grants a lease and returns its number."""
         number = next(self._lease_numbers)
         self.leases[number] = (self._clock() + seconds, seconds)
         return number
 
     def extend(self, lease: int) -> bool:
-        """Give the lease its full time again; False if it has ended."""
+        """Extends the lease by its full duration; returns False if it has expired."""
         if lease not in self.leases:
             return False
         seconds = self.leases[lease][1]
@@ -53,12 +53,12 @@
         return True
 
     def extend_all(self) -> None:
-        """Give every lease its full time again, as after an outage."""
+        """Extends every lease by its full duration, as after an outage."""
         for lease in self.leases:
             self.extend(lease)
 
     def expire(self) -> None:
-        """End the leases whose time has passed, and what is attached to them."""
+        """Removes expired leases and the keys attached to them."""
         now = self._clock()
         for lease in [number for number, (end, _) in self.leases.items() if now >= end]:
             del self.leases[lease]
@@ -69,12 +69,15 @@
                 self._write(key, None, None)
 
     def failed(self, conditions: Sequence[tuple[str, int]]) -> list[str]:
-        """Keys that don't have the version named; 0: the key does not exist."""
+        """Returns the keys whose stamp differs; stamp 0 requires that the key does not exist."""
         present = {key: entry[1] for key, _ in conditions if (entry := self.data.get(key))}
         return [key for key, stamp in conditions if present.get(key, 0) != stamp]
 
     def commit(self, writes: Iterable[tuple[str, Any, int | None]]) -> int:
-        """Carry out writes of key, value and lease under one revision; returns it."""
+        """Applies writes of key, value and lease under one new revision and returns it.
+
+        Raises NoSuchLease if a write names an expired lease.
+        """
         listed = list(writes)
         if any(lease is not None and lease not in self.leases for _, _, lease in listed):
             raise NoSuchLease
--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -1,4 +1,4 @@
-"""Worlds in which running work may be moved, and what tests look at there."""
+"""Simulated clusters that move running tasks towards their data, and lookups for their tests."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 
 UID = "j-000001"
 LONG_S = 4000.0
+MOVE_POLL_S = 0.02
+MOVE_POLLS = 5000
 
 
 def settings(*zones: str, **changes: Any) -> LocalitySettings:
-    """A source that team-0 reads, in these zones; moves as often as bounds let them be tried."""
+    """Returns settings with a source in these zones for team-0; only the bounds delay moves."""
     source = Source("p", zones or ("a",), 200.0, 10.0, 0.5, teams=("team-0",))
     values: dict[str, Any] = {
         "sources": (source,),
@@ -33,7 +35,7 @@
 def world_with_locality(
     locality: LocalitySettings, members: tuple[str, ...] = MEMBERS, each: int = 2, **changes: Any
 ) -> World:
-    """`each`: machines that each share has in either of two zones; none is returned when empty."""
+    """Returns a cluster with `each` machines per share and zone; idle machines are kept."""
     zones = "a" * len(members) + "b" * len(members)
     values: dict[str, Any] = {"cpus_max": 100.0, "operators": Operators(idle_return=1e6)}
     world = World(
@@ -54,7 +56,7 @@
 
 
 def running_zones(world: World, uid: str = UID) -> dict[int, str]:
-    """Zones of the job's tasks that run, by number."""
+    """Returns the zones of the job's running tasks by task number."""
     return {
         task.number: worker.zone
         for worker in world.workers.values()
@@ -91,12 +93,12 @@
 
 
 def until_move(world: World) -> Migration:
-    for _ in range(5000):
+    for _ in range(MOVE_POLLS):
         move = current_move(world)
         if move is not None:
             return move
-        world.run(0.02)
-    raise AssertionError("no move was begun")
+        world.run(MOVE_POLL_S)
+    raise AssertionError("no move has begun")
 
 
 def no_reservations(world: World) -> bool:
@@ -104,7 +106,7 @@
 
 
 def moving(members: tuple[str, ...] = MEMBERS, **changes: Any) -> World:
-    """A world in which a move has just begun: the stop is on its way, room is reserved."""
+    """Returns a cluster in which a move has just begun: its stop is sent, its room reserved."""
     world = world_with_locality(settings("a"), members)
     submit_array(world, tasks=1, **changes)
     world.run(MIN_RUNTIME_S + 5.0)
--- a/tests/mixed_versions.py
+++ b/tests/mixed_versions.py
@@ -1,4 +1,4 @@
-"""Set-up of the tests in which versions serve beside each other, and of the lower limits."""
+"""Set-up for the tests of mixed versions and of lowered limits of the state service."""
 
 import random
 from typing import Any
@@ -15,17 +15,19 @@
 from runcourse.core.work import Work
 
 needs_production_history = pytest.mark.skipif(
-    production.checkout() is None, reason="the history of the version in production is not here"
+    production.checkout() is None, reason="the history of the production version is missing"
 )
 needs_pre_division_history = pytest.mark.skipif(
     production.checkout(production.BEFORE_DIVISIONS, production.PreDivisionNode.name) is None,
-    reason="the history of the version before divisions is not here",
+    reason="the history of the version before divisions is missing",
 )
-LEAST_VALUE_BYTES = 2048  # bytes of a value, the least that any deployment has announced
+LEAST_VALUE_BYTES = 2048  # the lowest limit that any deployment has announced
 LEAST_TXN_OPS = 8
+MAX_COMMITS = 50
 
 
 def loaded_world(members: tuple[str, ...], machines: int = 12) -> World:
+    """Returns a cluster on the production version that runs two jobs per team."""
     world = World(machines=machines, members=members, on_production=True, cpus_max=100.0)
     world.run(4.0)
     for n in range(4):
@@ -37,6 +39,7 @@
 
 
 def restart_as(world: World, member: str, seconds: float, new: bool) -> None:
+    """Stops a node and starts it after `seconds`, with the present version if `new`."""
     world.crash(member)
     if new:
         world.production_members.discard(member)
@@ -44,10 +47,12 @@
 
 
 def format_stored(world: World) -> bool:
+    """Returns whether the version of the stored formats is recorded."""
     return "rc/format" in world.state.data
 
 
 def node_with_next_limits(**next_limits: Any) -> Node:
+    """Returns a node whose settings announce these next limits of the state service."""
     settings = platform("n0")
     state = StateSettings(
         rps=200.0, write_rps=80.0, value_kb=16.0, txn_ops=24, next=NextLimits(**next_limits)
@@ -65,7 +70,7 @@
 
 
 def largest_spec(**changes: Any) -> JobSpec:
-    """Every field as long as a submission may have it."""
+    """Returns a job whose fields have the greatest length that a submission may use."""
     return spec(
         "j-" + "9" * 18,
         tasks=MAX_TASKS,
@@ -103,11 +108,11 @@
         node.store.values["rc/format"] = {"version": 2}
         node.store.stamps["rc/format"] = Stamp(3)
     work = Work(job, 0)  # type: ignore[arg-type]
-    node.scheduler.finishes.shares = _Guarding()  # type: ignore[assignment]
+    node.scheduler.finishes.shares = _ShareStub()  # type: ignore[assignment]
     return node, work
 
 
-class _Guarding:
+class _ShareStub:
     def guard(self, share: int) -> tuple[str, int]:
         return ("rc/share/0", 1)
 
@@ -116,8 +121,8 @@
 
 
 def store_all_finished(node: Node, work: Work) -> list[t.Commit]:
-    """Store what is finished until nothing is left; the changes it took."""
-    made: list[t.Commit] = []
+    """Stores all finished tasks and returns the commits that were needed."""
+    commits: list[t.Commit] = []
     node.scheduler.finishes._unstored[work.job.uid] = work
     while work.unstored_done_bits:
         node.store._write_budget.level = 1e9
@@ -125,8 +130,8 @@
         node.store._flush()
         commit = next(e for e in node.context.effects if isinstance(e, t.Commit))
         node.context.effects.clear()
-        made.append(commit)
-        node.handle(node.context.now, t.Outcome(commit.tag, 200, 100 + len(made)))
+        commits.append(commit)
+        node.handle(node.context.now, t.Outcome(commit.tag, 200, 100 + len(commits)))
         node.context.effects.clear()
-        assert len(made) < 50
-    return made
+        assert len(commits) < MAX_COMMITS
+    return commits
--- a/tests/production.py
+++ b/tests/production.py
@@ -1,7 +1,7 @@
-"""The version in production as a node of the scripted world, from the repository's history.
+"""Nodes of two older versions for the simulated cluster, from the repository's history.
 
-`python3 tests/production.py` writes tests/data/production-store.json anew: what nodes of that
-version leave in the state service after a story of theirs.
+`python3 tests/production.py` rewrites tests/data/production-store.json: the contents of the state
+service after nodes of the production version have run a fixed scenario.
 """
 
 from __future__ import annotations
@@ -30,34 +30,37 @@
 
 
 def checkout(version: str = "", name: str = NAME) -> Path | None:
-    """Where a version's package lies under another name; None: the history isn't there."""
+    """Extracts a version's package as `name` and returns its parent directory.
+
+    Returns None if the commit is not in the repository's history.
+    """
     version = version or commit()
-    place = ROOT / "target" / "production" / version
-    if not (place / name / "core" / "node.py").exists():
+    directory = ROOT / "target" / "production" / version
+    if not (directory / name / "core" / "node.py").exists():
         tree = subprocess.run(
             ["git", "archive", version, "runcourse"], cwd=ROOT, capture_output=True, check=False
         )
         if tree.returncode:
             return None
-        place.mkdir(parents=True, exist_ok=True)
+        directory.mkdir(parents=True, exist_ok=True)
         with tarfile.open(fileobj=BytesIO(tree.stdout)) as archive:
             for member in archive.getmembers():
                 member.name = name + member.name.removeprefix("runcourse")
-                archive.extract(member, place, filter="data")
-    return place
+                archive.extract(member, directory, filter="data")
+    return directory
 
 
 def modules(version: str = "", name: str = NAME) -> dict[str, Any] | None:
-    place = checkout(version, name)
-    if place is None:
+    directory = checkout(version, name)
+    if directory is None:
         return None
-    if str(place) not in sys.path:
-        sys.path.insert(0, str(place))
+    if str(directory) not in sys.path:
+        sys.path.insert(0, str(directory))
     parts = ("node", "types", "jobs")
     return {part: importlib.import_module(f"{name}.core.{part}") for part in parts}
 
 
-# What that version named otherwise: effects and their fields, and inputs.
+# Names of effects, effect fields and inputs that differ in the production version.
 _EFFECTS = {
     "Answer": "UserAnswer",
     "AnswerBeat": "ReportAnswer",
@@ -74,14 +77,14 @@
 
 
 class ProductionNode:
-    """A node of that version among others: what goes in and comes out changes its type only."""
+    """A node of the production version; inputs and effects are converted between types."""
 
     def __init__(self, platform: Any, operators: Any, rng: Any, now: Any) -> None:
-        found = modules()
-        assert found is not None
-        self.types = found["types"]
-        self.node = found["node"].Node(platform, operators, rng, now)
-        # Under their present names, for tests that look at nodes of either version.
+        loaded = modules()
+        assert loaded is not None
+        self.types = loaded["types"]
+        self.node = loaded["node"].Node(platform, operators, rng, now)
+        # The present names, for tests that read attributes of nodes of either version.
         self.node.shares.owned = self.node.shares.mine
         self.node.rental.leadership = self.node.rental
 
@@ -89,12 +92,12 @@
         return getattr(self.node, name)
 
     @staticmethod
-    def _former_name(event: Any) -> str:
+    def _production_name(event: Any) -> str:
         name = type(event).__name__
         return _INPUTS.get(name, name)
 
     def _report(self, report: Any) -> Any:
-        # As its wire module reads a worker's words.
+        # Values that the wire module of that version decodes from a worker's report.
         tasks = tuple(
             self.types.TaskReport(
                 e.task,
@@ -114,11 +117,11 @@
         values = {f: getattr(event, f) for f in event.__struct_fields__}
         if isinstance(event, t.ReportReceived):
             values["report"] = self._report(event.report)
-        if isinstance(event, t.PeerMessageReceived):  # as lines: what it reads are plain maps
+        if isinstance(event, t.PeerMessageReceived):  # it expects decoded JSON maps
             values["message"] = json.loads(peer_messages.encode(event.message))
         if isinstance(event, t.Outcome) and isinstance(event.body, t.Report):
             values["body"] = self._report(event.body)
-        effects = self.node.handle(now, getattr(self.types, self._former_name(event))(**values))
+        effects = self.node.handle(now, getattr(self.types, self._production_name(event))(**values))
         return [self._effect(e) for e in effects]
 
     def _effect(self, effect: Any) -> Any:
@@ -134,16 +137,16 @@
 
 
 class PreDivisionNode:
-    """A node of the version before divisions: inputs and effects change their types only."""
+    """A node of the version before divisions; inputs and effects are converted between types."""
 
     name = "runcourse_before_divisions"
 
     def __init__(self, platform: Any, operators: Any, rng: Any, now: Any) -> None:
-        found = modules(BEFORE_DIVISIONS, self.name)
-        assert found is not None
-        self.types = found["types"]
+        loaded = modules(BEFORE_DIVISIONS, self.name)
+        assert loaded is not None
+        self.types = loaded["types"]
         self.messages = importlib.import_module(f"{self.name}.wire.peer_messages")
-        self.node = found["node"].Node(platform, operators, rng, now)
+        self.node = loaded["node"].Node(platform, operators, rng, now)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.node, name)
@@ -170,11 +173,14 @@
         return getattr(t, type(effect).__name__)(**values)
 
 
-def story() -> dict[str, Any]:
-    """Nodes of that version run services and arrays, some cancelled, one half done."""
+def stored_state() -> dict[str, Any]:
+    """Runs services and arrays on production nodes and returns the contents of the state service.
+
+    One job is cancelled, one is half done.
+    """
     from world import World, spec
 
-    world = World(machines=9, cpus_max=100.0, former=True)
+    world = World(machines=9, cpus_max=100.0, on_production=True)
     world.run(4.0)
     world.submit(spec("j-000001", tasks=2, team="team-0", service=True, rank=0))
     world.submit(spec("j-000002", tasks=3, team="team-1", estimate_s=1.0))
@@ -196,7 +202,7 @@
     return {
         "command": "python3 tests/production.py",
         "commit": commit(),
-        "told": world.told,
+        "told": world.last_stages,
         "data": {k: list(v) for k, v in sorted(world.state.data.items())},
         "epoch": world.state.epoch,
     }
@@ -205,4 +211,4 @@
 if __name__ == "__main__":
     sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
     STORED.parent.mkdir(exist_ok=True)
-    STORED.write_text(json.dumps(story(), indent=1, sort_keys=True) + "\n")
+    STORED.write_text(json.dumps(stored_state(), indent=1, sort_keys=True) + "\n")
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the state service, the cloud and its workers, over loopback HTTP.
+"""Simulated state service, cloud and workers over loopback HTTP.
 
-Run as a program, it prints a settings file for one controller and serves until it is ended:
+As a program it writes a settings file for one controller and serves until it is terminated:
 
     python3 tests/standins.py /tmp/settings.toml
     python3 run.py serve --config /tmp/settings.toml
@@ -26,6 +26,11 @@
 from runcourse.net.http import Client, NotSent, Reply, Server, Unanswered  # noqa: E402
 from runcourse.wire.codec import decode_map, encode  # noqa: E402
 
+REPORT_S = 0.3
+STARTUP_S = 0.2  # until a worker accepts requests
+TASK_S = 0.5
+REPORT_TIMEOUT_S = 4.0
+
 
 def free_port() -> int:
     with socket.socket() as s:
@@ -38,7 +43,7 @@
 
 
 class StateService(KeyValueStore):
-    """The state service as PROTOCOL describes it, without limits on rates."""
+    """The state service as PROTOCOL describes it, without rate limits."""
 
     def __init__(self) -> None:
         super().__init__(time.monotonic)
@@ -86,21 +91,21 @@
 
 
 def write(change: dict[str, Any]) -> tuple[str, Any, int | None]:
-    """Key, value and lease of a change in a transaction."""
+    """Returns the key, value and lease of one write of a transaction."""
     if "drop" in change:
         return change["drop"], None, None
     return change["write"], change["value"], change.get("grant") or None
 
 
 def event(change: Change) -> dict[str, Any]:
-    """A change as those who follow are told of it."""
+    """Returns a change in the format of `/follow`."""
     if change.value is None:
         return {"drop": change.key, "stamp": change.stamp}
     return {"write": change.key, "value": change.value, "stamp": change.stamp}
 
 
 class Worker:
-    """Reports every 0.3 s and runs each task for half a second; services go on."""
+    """Reports every 0.3 s; a task ends after 0.5 s unless it is listed in `until_stopped`."""
 
     def __init__(self, cloud: Cloud, host: str, hull: str, yard: str, lendable: bool) -> None:
         self.cloud = cloud
@@ -124,19 +129,19 @@
         }
 
     async def run(self) -> None:
-        await asyncio.sleep(0.2)
+        await asyncio.sleep(STARTUP_S)
         await self.server.start("127.0.0.1", 0)
         client = Client("127.0.0.1", self.cloud.api_port, limit=1)
         while True:
             try:
                 status, body = await client.request(
-                    "POST", "/agent/beat", encode(self.report()), 4.0
+                    "POST", "/agent/beat", encode(self.report()), REPORT_TIMEOUT_S
                 )
                 if status == 200:
                     self.execute_orders(decode_map(body))
             except (NotSent, Unanswered):
                 pass
-            await asyncio.sleep(0.3)
+            await asyncio.sleep(REPORT_S)
 
     async def serve(self, method: str, target: str, body: bytes) -> Reply:
         if target == "/status":
@@ -156,7 +161,7 @@
             if order["verb"] == "run" and key not in self.legs:
                 self.legs[key] = {"leg": order["leg"], "try": order["try"], "stage": "running"}
                 if order["leg"] not in self.cloud.until_stopped:
-                    asyncio.get_running_loop().call_later(0.5, self.end, key, "done")
+                    asyncio.get_running_loop().call_later(TASK_S, self.end, key, "done")
             elif order["verb"] == "kill":
                 self.end(key, "halted")
             elif order["verb"] == "clear":
@@ -168,7 +173,7 @@
 
 
 class Cloud:
-    """The cloud, with a worker for each machine that it rents."""
+    """The cloud, which starts a worker for each rented machine."""
 
     def __init__(self, api_port: int) -> None:
         self.api_port = api_port
@@ -267,10 +272,10 @@
 
 
 class Standins:
-    """The state service and the cloud on loopback."""
+    """The state service and the cloud on loopback addresses."""
 
     async def start(self) -> str:
-        """Serve, and give the settings for a controller beside them."""
+        """Starts both servers and returns the settings of a controller that uses them."""
         api = free_port()
         self.state = StateService()
         self.cloud = Cloud(api)
@@ -296,7 +301,10 @@
 async def _main(path: Path) -> None:
     standins = Standins()
     path.write_text(await standins.start(), encoding="utf-8")
-    print(f"settings in {path}; the API is to be 127.0.0.1:{standins.api}", flush=True)
+    print(
+        f"settings written to {path}; API address of the controller: 127.0.0.1:{standins.api}",
+        flush=True,
+    )
     await asyncio.Event().wait()
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -235,7 +235,7 @@
     world, owner = running(members)
     taker, reader = [m for m in members if m != owner][:2]
     apart(world, reader, *members)
-    at_cancellation(world, lambda: setattr(world, "lose", 1.0))
+    at_cancellation(world, lambda: setattr(world, "loss_rate", 1.0))
     assert world.cancel(UID, taker) == "?"
     world.loss_rate = 0.0
     assert world.state.data[f"rc/job/{UID}"][0]["stage"] == "cancelled"
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -103,7 +103,7 @@
         world.inbound_cut.add(victim.id)
     else:
         victim.fails_tasks = True
-        world.after(1.0, lambda: setattr(victim, "sick", False))
+        world.after(1.0, lambda: setattr(victim, "fails_tasks", False))
     world.capacity = 16
     world.run(LEASE_S + 4.0)
     recover_and_check(world)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
-"""A small world for the core: a fake clock, a scripted state service, cloud and workers.
+"""Simulated cluster for the core: a fake clock, a scripted state service, cloud and workers.
 
-Everything random comes from one seeded generator, so a run repeats. The workers and the
-state service follow PROTOCOL; the world notes every broken rule in `violations`.
+All random draws come from one seeded generator, so a run is repeatable. The workers and the state
+service follow PROTOCOL. `World.violations` lists every rule that was broken.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 __all__ = [
     "CANCEL_S",
-    "FIVE",
+    "FIVE_MEMBERS",
     "GANG_PEER_S",
     "GANG_WAIT_S",
     "LEASE_S",
@@ -55,11 +55,21 @@
     "TYPE",
     "ZONES",
     "World",
+    "ignore_result",
     "platform",
     "spec",
-    "void",
 ]
 
+TICK_S = 0.05  # between two ticks of a node
+CHECK_INTERVAL_S = 0.1  # between two checks of the rules
+MIN_LATENCY_S, MAX_LATENCY_S = 0.001, 0.02
+STATE_TIMEOUT_S = 1.5  # until a request to the state service fails without an answer
+LATE_WRITE_TIMEOUT_S = 2.5  # the same for a change that is applied late
+MIN_LATE_WRITE_S, MAX_LATE_WRITE_S = 2.0, 12.0
+WORKER_TIMEOUT_S = 2.0  # until a command or probe fails without an answer
+MIN_DUPLICATE_DELAY_S = 0.5
+MAX_DUPLICATE_DELAY_S = 3 * LEASE_S
+
 
 class World(UserRequests, GangSteps, RuleChecks):
     """Nodes, workers, users, the state service and the cloud on one fake clock."""
@@ -82,12 +92,9 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = itertools.count()
         self.members = members
-        self.production_members = (
-            set(members) if on_production else set()
-        )  # start as the version in production
-        self.pre_division_members = (
-            set(members) if before_divisions else set()
-        )  # as the version before divisions
+        # Members that start as the version in production, or as the version before divisions.
+        self.production_members = set(members) if on_production else set()
+        self.pre_division_members = set(members) if before_divisions else set()
         self.settings = settings
         self.locality = locality
         self.operators = operators or Operators()
@@ -95,32 +102,33 @@
         self.state = State(self)
         self.nodes: dict[str, Node | None] = dict.fromkeys(members)
         self.generation = dict.fromkeys(members, 0)
-        # Nodes that stand still: what arrives, and what they were about to send, waits.
+        # Paused nodes: `frozen` maps a node to the end of its pause, `deferred` holds its
+        # incoming events and unsent effects.
         self.frozen: dict[str, float] = {}
-        self.waiting: dict[str, list[Callable[[], None]]] = {m: [] for m in members}
-        self.stalling: dict[str, float] = {}
+        self.deferred: dict[str, list[Callable[[], None]]] = {m: [] for m in members}
+        self.pending_stalls: dict[str, float] = {}
         self.workers: dict[str, Worker] = {}
         self.specs: dict[Any, JobSpec] = {}
         self.finished: set[Any] = set()
         self.violations: list[str] = []
-        self.cut_links: set[frozenset[str]] = set()  # pairs that can't reach each other
-        self.hold_commands = False  # do cuts hold commands back, to deliver them late?
-        self.held: list[Callable[[], None]] = []
-        self.inbound_cut: set[str] = set()  # workers whose reports arrive, and nothing reaches them
-        self.fetch_s = 0.2  # until a machine holds an image
-        self.gangs: dict[tuple[Any, int], Gang] = {}  # by job and attempt
-        self.progress: dict[Any, float] = {}  # of gangs, saved
-        self.gang_runs: list[tuple[float, Any, int]] = []  # when gangs began to run
-        self.outbound_cut: set[str] = set()  # workers that reach no node, while commands reach them
-        self.state_delay_s = 0.0  # seconds more that the state service takes to answer
-        self.link_delay_s = 0.0  # seconds more that every message takes
-        self.lost_answers = 0.0  # share of changes carried out at once whose answer is lost
-        self.duplicate_rate = 0.0  # share of messages of which a copy arrives again, late
-        self.loss_rate = 0.0  # share of messages to workers and of answers that get lost
-        self.late_writes = 0.0  # share of changes without an answer, carried out 2 to 12 s later
-        self.failing_jobs: set[str] = set()  # jobs whose tasks fail wherever they start
+        self.cut_links: set[frozenset[str]] = set()  # pairs without a connection
+        self.hold_commands = False  # commands over cut links are delivered late, not lost
+        self.held_commands: list[Callable[[], None]] = []
+        self.inbound_cut: set[str] = set()  # workers that send reports and receive nothing
+        self.fetch_s = 0.2  # duration of an image fetch
+        self.gangs: dict[tuple[Any, int], Gang] = {}  # by job and attempt number
+        self.progress: dict[Any, float] = {}  # saved seconds of work by gang job or array task
+        self.gang_runs: list[tuple[float, Any, int]] = []  # start time, job, attempt
+        self.outbound_cut: set[str] = set()  # workers that receive commands and cannot send reports
+        self.state_delay_s = 0.0  # added to each answer of the state service
+        self.link_delay_s = 0.0  # added to the latency of every message
+        self.lost_answers = 0.0  # fraction of applied commits whose answer is lost
+        self.duplicate_rate = 0.0  # fraction of messages of which a copy arrives late
+        self.loss_rate = 0.0  # fraction of commands and state answers that are lost
+        self.late_writes = 0.0  # fraction of commits without an answer, applied 2 to 12 s later
+        self.failing_jobs: set[str] = set()  # jobs whose tasks fail on every machine
         self.capacity = machines
-        self.last_stages: dict[str, str] = {}  # the last word a user got on a job
+        self.last_stages: dict[str, str] = {}  # stage of each job as last reported to a user
         self.cancelled_at: dict[str, float] = {}
         self.starts: list[tuple[float, Any, str]] = []
         self._requests = itertools.count(1)
@@ -130,19 +138,19 @@
             self.boot(machine_zones[len(self.workers) % len(machine_zones)], False)
         for member in members:
             self.start(member)
-        self.after(0.1, self._watch)
+        self.after(CHECK_INTERVAL_S, self._watch)
 
-    # --- time ------------------------------------------------------------------------
+    # --- clock -----------------------------------------------------------------------
 
-    def after(self, seconds: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (self.now + seconds, next(self._count), what))
+    def after(self, seconds: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._heap, (self.now + seconds, next(self._count), action))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self._heap and self._heap[0][0] <= end:
-            at, _, what = heapq.heappop(self._heap)
+            at, _, action = heapq.heappop(self._heap)
             self.now = max(self.now, at)
-            what()
+            action()
         self.now = end
 
     def until(self, condition: Callable[[], bool], limit: float = 60.0) -> None:
@@ -163,7 +171,7 @@
         settings = platform(member, members=self.members, **self.settings)
         rng = random.Random(self.rng.random())
         now = Instant(self.now)
-        # A node of the version in production has the same parts, where tests look at them.
+        # Nodes of older versions have the same attributes wherever tests read them.
         self.nodes[member] = (
             ProductionNode(settings, self.operators, rng, now)  # type: ignore[assignment]
             if member in self.production_members
@@ -184,7 +192,7 @@
         return LocalityPolicy(self.locality, guarantees)
 
     def reload(self, locality: LocalitySettings) -> None:
-        """Operators put other locality settings in force at every node."""
+        """Replaces the locality settings of every running node."""
         self.locality = locality
         for member, node in self.nodes.items():
             if node is not None:
@@ -194,49 +202,49 @@
         self.nodes[member] = None
         self.generation[member] += 1
         self.frozen.pop(member, None)
-        self.stalling.pop(member, None)
-        self.waiting[member].clear()
+        self.pending_stalls.pop(member, None)
+        self.deferred[member].clear()
 
     def freeze(self, member: str, seconds: float) -> None:
-        """The process stands still, its clocks run on; its sockets go on taking what comes."""
+        """Pauses the process; its clock runs on and its sockets still accept messages."""
         if self.nodes[member] is None or member in self.frozen:
             return
         self.frozen[member] = self.now + seconds
         generation = self.generation[member]
 
-        def thaw() -> None:
+        def resume() -> None:
             if self.generation[member] != generation:
                 return
             del self.frozen[member]
-            waiting, self.waiting[member] = self.waiting[member], []
-            for what in waiting:
-                what()
+            deferred, self.deferred[member] = self.deferred[member], []
+            for action in deferred:
+                action()
 
-        self.after(seconds, thaw)
+        self.after(seconds, resume)
 
     def stall(self, member: str, seconds: float) -> None:
-        """As `freeze`, but between the last check of what is sent next and its leaving."""
+        """Pauses the process after it has decided on its next effects and before it sends them."""
         if member not in self.frozen:
-            self.stalling[member] = seconds
+            self.pending_stalls[member] = seconds
 
     def _tick(self, member: str, generation: int) -> None:
         if self.generation[member] == generation and self.nodes[member] is not None:
-            if member not in self.frozen:  # timers that fall due meanwhile don't pile up
+            if member not in self.frozen:  # timers that expire during a pause do not accumulate
                 self.feed(member, t.Tick())
-            self.after(0.05, lambda: self._tick(member, generation))
+            self.after(TICK_S, lambda: self._tick(member, generation))
 
     def feed(self, member: str, event: Any) -> None:
         node = self.nodes[member]
         if node is None:
             return
         if member in self.frozen:
-            self.waiting[member].append(lambda: self.feed(member, event))
+            self.deferred[member].append(lambda: self.feed(member, event))
             return
         effects = [e for e in node.handle(self.now, event) if not isinstance(e, t.Log)]
-        if effects and member in self.stalling:
-            self.freeze(member, self.stalling.pop(member))
+        if effects and member in self.pending_stalls:
+            self.freeze(member, self.pending_stalls.pop(member))
             for effect in effects:
-                self.waiting[member].append(lambda e=effect: self._carry_out(member, e))  # type: ignore[misc]
+                self.deferred[member].append(lambda e=effect: self._carry_out(member, e))  # type: ignore[misc]
             return
         for effect in effects:
             self._carry_out(member, effect)
@@ -245,15 +253,15 @@
         return frozenset((a, b)) not in self.cut_links
 
     def _latency(self) -> float:
-        return self.rng.uniform(0.001, 0.02) + self.link_delay_s
+        return self.rng.uniform(MIN_LATENCY_S, MAX_LATENCY_S) + self.link_delay_s
 
     def _carry_out(self, member: str, effect: Any) -> None:
         generation = self.generation[member]
-        began = self.now
+        started_at = self.now
 
-        def back(status: int, body: Any = None, sent: bool = True) -> None:
+        def complete(status: int, body: Any = None, sent: bool = True) -> None:
             if self.generation[member] == generation:
-                self.feed(member, t.Outcome(effect.tag, status, body, sent, began))
+                self.feed(member, t.Outcome(effect.tag, status, body, sent, started_at))
 
         match effect:
             case t.UserAnswer() | t.ReportAnswer() | t.DivisionAnswer():
@@ -265,13 +273,13 @@
                     if other != member and effect.member in (None, other):
                         self._send_to_peer(member, other, effect.message)
             case t.Follow() | t.ReadAll() | t.Commit() | t.GrantLease() | t.ExtendLease():
-                self._to_state(member, effect, back)
+                self._to_state(member, effect, complete)
             case t.Command():
-                self._to_worker(member, effect, back)
+                self._to_worker(member, effect, complete)
             case t.Probe():
-                self._probe(member, effect, back)
+                self._probe(member, effect, complete)
             case t.ReadCatalog():
-                self.after(self._latency(), lambda: back(200, (TYPE,)))
+                self.after(self._latency(), lambda: complete(200, (TYPE,)))
             case t.ListMachines():
                 listed = tuple(
                     t.CloudMachine(
@@ -285,20 +293,20 @@
                     )
                     for w in self.workers.values()
                 )
-                self.after(self._latency(), lambda: back(200, listed))
+                self.after(self._latency(), lambda: complete(200, listed))
             case t.Rent():
                 if len(self.workers) < self.capacity:
                     ids = (self.boot(effect.zone, effect.spot),)
-                    self.after(self._latency(), lambda: back(200, ids))
+                    self.after(self._latency(), lambda: complete(200, ids))
                 else:
-                    self.after(self._latency(), lambda: back(503))
+                    self.after(self._latency(), lambda: complete(503))
             case t.Release():
                 for id in effect.machines:
                     worker = self.workers.pop(id, None)
                     if worker is not None:
                         worker.alive = False
                         worker.tasks.clear()
-                self.after(self._latency(), lambda: back(200))
+                self.after(self._latency(), lambda: complete(200))
 
     def _send_to_peer(self, member: str, other: str, message: PeerMessage) -> None:
         if self.reachable(member, other):
@@ -307,38 +315,39 @@
                 self.feed(other, t.PeerMessageReceived(member, message))  # type: ignore[arg-type]
 
             self.after(self._latency(), arrive)
-            self._copy(arrive)
+            self._maybe_duplicate(arrive)
 
-    def _copy(self, arrive: Callable[[], None]) -> None:
-        """Perhaps the same message comes once more, by up to well over a lease later."""
+    def _maybe_duplicate(self, arrive: Callable[[], None]) -> None:
+        """Delivers the message a second time at the set rate, up to three leases later."""
         if self.duplicate_rate and self.rng.random() < self.duplicate_rate:
-            self.after(self.rng.uniform(0.5, 3 * LEASE_S), arrive)
+            self.after(self.rng.uniform(MIN_DUPLICATE_DELAY_S, MAX_DUPLICATE_DELAY_S), arrive)
 
-    def _to_state(self, member: str, effect: Any, back: Callable[..., None]) -> None:
+    def _to_state(self, member: str, effect: Any, complete: Callable[..., None]) -> None:
         if not self.reachable(member, "state"):
-            self.after(1.5, lambda: back(0))
+            self.after(STATE_TIMEOUT_S, lambda: complete(0))
             return
 
         if isinstance(effect, t.Commit) and self.rng.random() < self.late_writes:
             self.after(
-                self.rng.uniform(2.0, 12.0), lambda: ignore_result(self.state.serve(member, effect))
+                self.rng.uniform(MIN_LATE_WRITE_S, MAX_LATE_WRITE_S),
+                lambda: ignore_result(self.state.serve(member, effect)),
             )
-            self.after(2.5, lambda: back(0))
+            self.after(LATE_WRITE_TIMEOUT_S, lambda: complete(0))
             return
 
         def serve() -> None:
             status, body = self.state.serve(member, effect)
-            share = self.loss_rate + self.lost_answers * isinstance(effect, t.Commit)
-            if self.rng.random() < share:
-                self.after(1.5, lambda: back(0))  # applied, but the answer is lost
+            loss_rate = self.loss_rate + self.lost_answers * isinstance(effect, t.Commit)
+            if self.rng.random() < loss_rate:
+                self.after(STATE_TIMEOUT_S, lambda: complete(0))  # applied, but the answer is lost
             else:
-                self.after(self._latency() + self.state_delay_s, lambda: back(status, body))
+                self.after(self._latency() + self.state_delay_s, lambda: complete(status, body))
 
         self.after(self._latency(), serve)
         if isinstance(effect, t.Commit):
-            self._copy(lambda: ignore_result(self.state.serve(member, effect)))
+            self._maybe_duplicate(lambda: ignore_result(self.state.serve(member, effect)))
 
-    def _to_worker(self, member: str, effect: t.Command, back: Callable[..., None]) -> None:
+    def _to_worker(self, member: str, effect: t.Command, complete: Callable[..., None]) -> None:
         id = effect.addr.partition(":")[0]
 
         def deliver() -> tuple[int, Any] | None:
@@ -346,11 +355,11 @@
             if worker is None or not worker.alive:
                 return None
             if worker.hung:
-                self.held.append(late)
+                self.held_commands.append(deliver_late)
                 return None
             return worker.command(effect)
 
-        def late() -> None:
+        def deliver_late() -> None:
             worker = self.workers.get(id)
             if worker is not None and worker.alive:
                 worker.command(effect)
@@ -359,19 +368,19 @@
             lost = self.rng.random() < self.loss_rate
             if not self.reachable(member, id) or lost or id in self.inbound_cut:
                 if self.hold_commands or lost:
-                    self.held.append(late)
-                self.after(2.0, lambda: back(0))
+                    self.held_commands.append(deliver_late)
+                self.after(WORKER_TIMEOUT_S, lambda: complete(0))
                 return
             result = deliver()
             if result is None:
-                self.after(2.0, lambda: back(0))
+                self.after(WORKER_TIMEOUT_S, lambda: complete(0))
             else:
-                self.after(self._latency(), lambda: back(*result))
+                self.after(self._latency(), lambda: complete(*result))
 
         self.after(self._latency(), arrive)
-        self._copy(late)
+        self._maybe_duplicate(deliver_late)
 
-    def _probe(self, member: str, effect: t.Probe, back: Callable[..., None]) -> None:
+    def _probe(self, member: str, effect: t.Probe, complete: Callable[..., None]) -> None:
         id = effect.addr.partition(":")[0]
 
         def arrive() -> None:
@@ -383,26 +392,26 @@
                 or id in self.inbound_cut
                 or not self.reachable(member, id)
             ):
-                self.after(2.0, lambda: back(0))
+                self.after(WORKER_TIMEOUT_S, lambda: complete(0))
             else:
                 worker.step()
-                self.after(self._latency(), lambda: back(200, worker.report()))
+                self.after(self._latency(), lambda: complete(200, worker.report()))
 
         self.after(self._latency(), arrive)
 
     def deliver_held(self) -> None:
-        """What a cut, a loss or a hanging machine held back arrives now."""
-        held, self.held = self.held, []
-        for late in held:
-            late()
+        """Delivers the commands that a cut link, a loss or a hung worker held back."""
+        held, self.held_commands = self.held_commands, []
+        for deliver in held:
+            deliver()
 
     def _watch(self) -> None:
-        self.after(0.1, self._watch)
+        self.after(CHECK_INTERVAL_S, self._watch)
         self.state.expire()
         for worker in self.workers.values():
             worker.step()
         self._step_gangs()
         for task, worker in self.on_machines():
-            told = self.cancelled_at.get(task.job)
-            if told is not None and self.now > told + CANCEL_S:
+            cancelled_at = self.cancelled_at.get(task.job)
+            if cancelled_at is not None and self.now > cancelled_at + CANCEL_S:
                 self.violations.append(f"ran_cancelled: {task} on {worker.id}")
--- a/tests/world_pool.py
+++ b/tests/world_pool.py
@@ -1,4 +1,4 @@
-"""Worlds whose machines two organisations share, and a checker of who counts which machine."""
+"""Simulated clusters shared by two organisations, and a checker of which node counts a machine."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 TEAMS = {DEALERS: ("team-0", "team-1"), REGISTRY: ("team-2", "team-3")}
 LONG_S = 4000.0
 MINUTE_S = 60.0
+CHECK_INTERVAL_S = 0.02
+CONTENDED_TASKS = 400  # far more than the machines of any test
 
-Holding = tuple[str, int]  # a node's process
+Holding = tuple[str, int]  # a node's process: member and generation
 
 
 def settings(**changes: Any) -> EntitlementSettings:
@@ -29,26 +31,26 @@
 
 
 class CountingChecker:
-    """Notes which process counts which machine as its own, as every node sees it.
+    """Records machines that two nodes count as their own at once, or that no node counts.
 
-    A node counts a machine that is among its own while it may command the machine's share, and
-    until it asks the store to record it otherwise: from then on it waits for the answer.
+    A node counts a machine of its fleet while it may command the machine's share and has not asked
+    the store to record another owner. After that request it waits for the answer.
     """
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.counted_twice: list[str] = []
-        self.alone_since: dict[str, float] = {}
-        self.longest_uncounted_s = 0.0  # seconds for which a recorded machine was counted by nobody
-        world.after(0.02, self._look)
+        self.uncounted_since: dict[str, float] = {}
+        self.longest_uncounted_s = 0.0  # longest time that no node counted a recorded machine
+        world.after(CHECK_INTERVAL_S, self._check)
 
-    def _look(self) -> None:
-        self.world.after(0.02, self._look)
+    def _check(self) -> None:
+        self.world.after(CHECK_INTERVAL_S, self._check)
         counted: dict[str, list[str]] = {}
         for member, node in self.world.nodes.items():
             if node is None:
                 continue
-            if isinstance(node, Node):  # it can't act before it sees the time
+            if isinstance(node, Node):  # a node reads the clock before it acts
                 node.context.now = max(node.context.now, Instant(self.world.now))
             for machine in node.fleet.machines.values():
                 if node.shares.may_command(machine.share.number) and not machine.moving:
@@ -58,9 +60,9 @@
                 self.counted_twice.append(f"{self.world.now:.2f}: {id} by {', '.join(members)}")
         for id in self.recorded_machines():
             if id in counted:
-                self.alone_since.pop(id, None)
+                self.uncounted_since.pop(id, None)
             else:
-                since = self.alone_since.setdefault(id, self.world.now)
+                since = self.uncounted_since.setdefault(id, self.world.now)
                 self.longest_uncounted_s = max(self.longest_uncounted_s, self.world.now - since)
 
     def recorded_machines(self) -> list[str]:
@@ -72,7 +74,7 @@
 
 
 class PoolWorld(World):
-    """A world with two organisations; machines are neither returned nor hired anew."""
+    """A `World` with two organisations; machines are neither returned nor hired again."""
 
     def __init__(
         self,
@@ -91,12 +93,12 @@
         self.checker = CountingChecker(self)
         self.jobs = 0
 
-    # --- work ------------------------------------------------------------------------
+    # --- jobs ------------------------------------------------------------------------
 
     def submit_array(
         self, organisation: str, tasks: int, estimate_s: float = 3.0, **changes: Any
     ) -> str:
-        """Waiting work of the organisation: a machine for each task, one job for each team."""
+        """Submits one job per team; each task needs a whole machine. Returns the last job."""
         uid = ""
         for team in TEAMS[organisation]:
             self.jobs += 1
@@ -142,13 +144,13 @@
     # --- the pool --------------------------------------------------------------------
 
     def organisation_of_share(self, share: int) -> str | None:
-        """Whom a share serves, by the stored mapping alone."""
+        """Returns the organisation of a share according to the stored mapping."""
         names = self.state.data["rc/mapping"][0]["dealt"]
         teams = {n for k, n in enumerate(names) if k % len(self.members) == share and n}
-        return next((org for org, own in TEAMS.items() if teams & set(own)), None)
+        return next((org for org, team_names in TEAMS.items() if teams & set(team_names)), None)
 
     def holdings(self) -> Counter[str | None]:
-        """Machines of each organisation, as the records have it."""
+        """Counts the machines of each organisation in the stored records."""
         return Counter(
             self.organisation_of_share(value["share"])
             for key, (value, _, _) in self.state.data.items()
@@ -161,17 +163,17 @@
         assert node is not None
         return node
 
-    def leads(self) -> bool:
+    def has_live_leader(self) -> bool:
         stored = self.state.data.get("rc/leader")
         return stored is not None and self.nodes[stored[0]["member"]] is not None
 
     def holdings_near(self, **machines: int) -> bool:
-        """Does each organisation hold so many machines, within one?"""
+        """Returns whether each organisation holds the given number of machines, within one."""
         held = self.holdings()
         return all(abs(held[name] - number) <= 1 for name, number in machines.items())
 
     def assert_rules_hold(self) -> bool:
-        """No rule broken, no machine counted twice."""
+        """Asserts that no rule was broken and no machine was counted twice."""
         assert not self.violations
         assert not self.checker.counted_twice
         return True
@@ -182,7 +184,7 @@
 
 
 def recorded_pool(members: tuple[str, ...] = MEMBERS, **changes: Any) -> PoolWorld:
-    """Nothing runs; every machine is on record, and divisions may be stored."""
+    """Returns an idle cluster whose machines are recorded and that may store divisions."""
     world = PoolWorld(members, **changes)
     world.until(lambda: len(world.checker.recorded_machines()) == len(world.workers), 20)
     world.until(lambda: "rc/format" in world.state.data, 20)
@@ -192,10 +194,10 @@
 def contended_pool(
     members: tuple[str, ...] = MEMBERS, estimate_s: float = 3.0, **changes: Any
 ) -> PoolWorld:
-    """Both organisations ask for far more than there is; the pool is divided evenly."""
+    """Returns an evenly divided cluster; both organisations wait for far more machines."""
     world = recorded_pool(members, **changes)
     for organisation in TEAMS:
-        world.submit_array(organisation, 400, estimate_s)
+        world.submit_array(organisation, CONTENDED_TASKS, estimate_s)
     half = len(world.workers) // 2
     world.until(lambda: world.holdings_near(dealers=half, registry=half), MINUTE_S)
     return world
--- a/tests/world_rules.py
+++ b/tests/world_rules.py
@@ -1,4 +1,4 @@
-"""PROTOCOL's rules on starts, as the scripted world checks them."""
+"""Checks of PROTOCOL's rules on task starts in the simulated cluster."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RuleChecks:
-    """The part of the world that notes broken rules."""
+    """The part of `World` that records violations."""
 
     def on_machines(self) -> list[tuple[Any, Worker]]:
         return [
@@ -21,9 +21,9 @@
 
     def check_start(self, worker: Worker, task: Any) -> None:
         self.starts.append((self.now, task, worker.id))
-        for other, where in self.on_machines():
-            if other == task and where is not worker:
-                self.violations.append(f"ran_twice: {task} on {where.id} and {worker.id}")
+        for other, holder in self.on_machines():
+            if other == task and holder is not worker:
+                self.violations.append(f"ran_twice: {task} on {holder.id} and {worker.id}")
         job = self.specs[task.job]
         used = job.cpus + sum(
             self.specs[x.job].cpus
@@ -41,8 +41,8 @@
         ):
             self.violations.append(f"wrong_place: {task} in zone {worker.zone}, others elsewhere")
         if job.spread:
-            here = 1 + sum(
+            in_zone = 1 + sum(
                 1 for x, w in self.on_machines() if x.job == job.uid and w.zone == worker.zone
             )
-            if here > (job.tasks + 1) // 2:
-                self.violations.append(f"wrong_place: {task} makes {here} in zone {worker.zone}")
+            if in_zone > (job.tasks + 1) // 2:
+                self.violations.append(f"wrong_place: {task} makes {in_zone} in zone {worker.zone}")
--- a/tests/world_settings.py
+++ b/tests/world_settings.py
@@ -1,4 +1,4 @@
-"""Settings, constants and jobs of the scripted world."""
+"""Settings, constants and job specifications of the simulated cluster."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def ignore_result(value: Any) -> None:
-    """For what is done for its effect only."""
+    """Discards a value in a lambda that is called for its side effect."""
 
 
 def spec(uid: str, tasks: int = 2, **changes: Any) -> JobSpec:
--- a/tests/world_state.py
+++ b/tests/world_state.py
@@ -1,4 +1,4 @@
-"""The scripted state service: called directly, with outages and limits that a story sets."""
+"""Simulated state service, called directly, with outages and limits that a test sets."""
 
 from __future__ import annotations
 
@@ -14,16 +14,14 @@
 
 
 class State(KeyValueStore):
-    """The state service of a world."""
+    """The state service of a `World`."""
 
     def __init__(self, world: World) -> None:
         super().__init__(lambda: world.now)
         self.down = False
         self.refused_members: set[str] = set()
-        self.size_limits: tuple[int, int] | None = (
-            None  # bytes of a value, changes in a transaction
-        )
-        self.too_large: list[str] = []  # keys of changes that were rejected for their size
+        self.size_limits: tuple[int, int] | None = None  # bytes per value, writes per transaction
+        self.too_large: list[str] = []  # first key of each commit rejected for its size
 
     def outage(self, on: bool) -> None:
         self.down = on
--- a/tests/world_users.py
+++ b/tests/world_users.py
@@ -1,4 +1,4 @@
-"""What users of the scripted world ask, and what they were told."""
+"""Requests of users in the simulated cluster and the answers they receive."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 from runcourse.core import types as t
 from runcourse.core.jobs import JobSpec
 
+USER_TIMEOUT_S = 4.0
+USER_POLL_S = 0.05
+
 
 class UserRequests:
-    """The part of the world that asks nodes and keeps what was answered."""
+    """The part of `World` that sends requests to nodes and records the answers."""
 
     def ask(self, origin: str, member: str, event: Any, answered: Callable[[Any], None]) -> None:
         def arrive() -> None:
@@ -32,19 +35,19 @@
         if isinstance(event, t.ReportReceived):
             report = event.report
 
-            def again() -> None:
+            def deliver_copy() -> None:
                 if self.nodes[member] is not None:
                     self.feed(member, t.ReportReceived(next(self._requests), report))
 
-            self._copy(again)
+            self._maybe_duplicate(deliver_copy)
 
     def _user(self, member: str, event: Any) -> t.UserAnswer | None:
-        got: list[Any] = []
-        self.ask("user", member, event, got.append)
-        end = self.now + 4.0
-        while not got and self.now < end:
-            self.run(0.05)
-        return got[0] if got else None
+        answers: list[Any] = []
+        self.ask("user", member, event, answers.append)
+        deadline = self.now + USER_TIMEOUT_S
+        while not answers and self.now < deadline:
+            self.run(USER_POLL_S)
+        return answers[0] if answers else None
 
     def submit(self, job: JobSpec, member: str = "n0") -> int:
         self.specs[job.uid] = job
@@ -69,14 +72,17 @@
         return str(answer.body["stage"])
 
     def record_stage(self, uid: str, stage: str, known: str | None = None) -> None:
-        """A user was told so. `known`: what the user had been told when the request was sent;
-        answers that cross on their way prove nothing against each other."""
+        """Records a stage that a user received and checks it against earlier answers.
+
+        `known` is the stage the user knew when the request was sent: concurrent answers may arrive
+        in any order and do not contradict each other.
+        """
         before = known or self.last_stages.get(uid)
         if stage == "cancelled":
             self.cancelled_at.setdefault(uid, self.now)
         if before in ("done", "cancelled") and stage != before:
             self.violations.append(f"went_back: {uid} {before} -> {stage}")
-        # Told before that it is unknown, a job was not accepted yet, if it ever was.
+        # A job that was unknown before had not been accepted yet, if it ever was.
         if before not in (None, "unknown") and stage == "unknown":
             self.violations.append(f"forgotten: {uid}")
         if stage == "done":
@@ -87,7 +93,7 @@
             ]
             if missing:
                 self.violations.append(f"not_done: {uid} lacks {missing}")
-        # Of answers that crossed the final one, or any after a 404, is what the user keeps.
+        # A final stage stays against concurrent answers; `unknown` replaces no other stage.
         if self.last_stages.get(uid) not in ("done", "cancelled") and (
             stage != "unknown" or before is None
         ):
--- a/tests/world_worker.py
+++ b/tests/world_worker.py
@@ -1,4 +1,4 @@
-"""The scripted worker of one machine, after PROTOCOL."""
+"""Simulated worker of one machine, as PROTOCOL describes it."""
 
 from __future__ import annotations
 
@@ -12,9 +12,13 @@
 if TYPE_CHECKING:
     from world import World
 
+REPORT_TIMEOUT_S = 4.0
+FIRST_REPORT_DELAY_S = 0.1
+MIN_REPORT_JITTER, MAX_REPORT_JITTER = 0.75, 1.25  # factors of the report interval
+
 
 class Worker:
-    """One machine's worker: sessions, tokens, leases, and tasks that run for a while."""
+    """One machine's worker: its session, token, lease and tasks of a fixed duration."""
 
     def __init__(self, world: World, id: str, zone: str, spot: bool) -> None:
         self.world = world
@@ -22,29 +26,30 @@
         self.zone = zone
         self.spot = spot
         self.session, self.seq, self.token = 1, 0, 0
-        self.tasks: dict[tuple[Any, int], list[Any]] = {}  # -> [stage, cause, since]
+        # (task, attempt) -> [stage, cause, start of the stage]
+        self.tasks: dict[tuple[Any, int], list[Any]] = {}
         self.images: set[str] = set()
-        self.renewed = world.now
+        self.lease_renewed_at = world.now
         self.alive = True
         self.hung = False
         self.fails_tasks = False
         self.notice_s: float | None = None
         self.node = world.rng.choice(world.members)
-        self.asking = 0
-        self.waiting = False  # one report is in flight at a time
-        world.after(0.1, self.beat)
+        self.request_number = 0
+        self.report_in_flight = False  # at most one at a time
+        world.after(FIRST_REPORT_DELAY_S, self.send_report)
 
     def next_node(self) -> None:
         members = self.world.members
         self.node = members[(members.index(self.node) + 1) % len(members)]
 
     def restart_without_state(self) -> None:
-        """The machine is back at once, with a worker that remembers nothing."""
+        """Restarts the worker at once without its session, token and tasks."""
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks.clear()
-        self.renewed = self.world.now
-        self.asking += 1
-        self.waiting = False
+        self.lease_renewed_at = self.world.now
+        self.request_number += 1
+        self.report_in_flight = False
 
     def report(self) -> t.Report:
         self.seq += 1
@@ -65,16 +70,16 @@
         )
 
     def step(self) -> None:
-        """Let time pass for the tasks and the lease."""
+        """Updates the lease and the tasks to the present time."""
         if not self.alive:
             return
         now = self.world.now
-        if now - self.renewed > self.world.settings.get("lease_s", LEASE_S):
+        if now - self.lease_renewed_at > self.world.settings.get("lease_s", LEASE_S):
             self.tasks.clear()
             self.session += 1
             self.seq = 0
-            self.renewed = now
-        if self.hung:  # it executes nothing, but may resume within its lease only
+            self.lease_renewed_at = now
+        if self.hung:  # a hung worker runs no task; it may resume only within its lease
             return
         for (task, _), entry in self.tasks.items():
             job = self.world.specs[task.job]
@@ -87,7 +92,7 @@
             if job.gang and entry[0] == "waiting" and now - entry[2] > GANG_WAIT_S:
                 entry[0], entry[1] = "ended", "incomplete"
             if job.gang and not self.fails_tasks:
-                continue  # the rest is seen to for the whole of it
+                continue  # `GangSteps` advances a waiting or running gang as a whole
             if entry[0] == "running" and (self.fails_tasks or task.job in self.world.failing_jobs):
                 entry[0], entry[1] = "ended", "error"
             elif entry[0] == "saving" and now - entry[2] >= job.save_s:
@@ -97,52 +102,59 @@
                 self.world.finished.add(task)
 
     def _left_s(self, task: Any) -> float:
-        """How long a task that starts now runs; for ever if it is a replica."""
+        """Returns the seconds of work a task still has; infinite for a replica."""
         job = self.world.specs[task.job]
         if job.service:
             return math.inf
         return job.estimate_s - self.world.progress.get(task, 0.0)
 
-    def beat(self) -> None:
+    def send_report(self) -> None:
         if not self.alive:
             return
-        self.world.after(REPORT_S * self.world.rng.uniform(0.75, 1.25), self.beat)
-        if self.hung or self.waiting:
+        self.world.after(
+            REPORT_S * self.world.rng.uniform(MIN_REPORT_JITTER, MAX_REPORT_JITTER),
+            self.send_report,
+        )
+        if self.hung or self.report_in_flight:
             return
         self.step()
-        if self.id in self.world.outbound_cut:  # no connection to any node: it tries the next one
+        if self.id in self.world.outbound_cut:  # no connection to any node: try the next one
             self.next_node()
             return
-        self.waiting = True
+        self.report_in_flight = True
         sent = self.world.now
         session = self.session
-        self.asking += 1
-        asked = self.asking
-
-        def answered(answer: t.ReportAnswer | None) -> None:
-            if self.asking != asked or not self.alive or self.world.now > sent + 4:
+        self.request_number += 1
+        request = self.request_number
+
+        def receive(answer: t.ReportAnswer | None) -> None:
+            if (
+                self.request_number != request
+                or not self.alive
+                or self.world.now > sent + REPORT_TIMEOUT_S
+            ):
                 return
             self.step()
-            self.asking += 1
-            self.waiting = False
+            self.request_number += 1
+            self.report_in_flight = False
             if answer is not None and answer.status == 200:
                 if answer.token >= self.token and self.session == session:
                     self.token = answer.token
-                    self.renewed = max(self.renewed, sent)
+                    self.lease_renewed_at = max(self.lease_renewed_at, sent)
                     self.execute_orders(answer.orders)
             elif answer is not None and answer.owner:
                 self.node = answer.owner
             else:
                 self.next_node()
 
-        def gave_up() -> None:
-            if self.asking == asked:
-                self.asking += 1
-                self.waiting = False
+        def time_out() -> None:
+            if self.request_number == request:
+                self.request_number += 1
+                self.report_in_flight = False
                 self.next_node()
 
-        self.world.ask(self.id, self.node, t.ReportReceived(0, self.report()), answered)
-        self.world.after(4.0, gave_up)
+        self.world.ask(self.id, self.node, t.ReportReceived(0, self.report()), receive)
+        self.world.after(REPORT_TIMEOUT_S, time_out)
 
     def execute_orders(self, orders: tuple[t.Order, ...]) -> None:
         for order in orders:
@@ -167,7 +179,7 @@
                 self.tasks.pop(key, None)
 
     def _saves(self, order: t.Order, entry: list[Any]) -> bool:
-        """A task of an array that is told to stop with time to save goes on doing that."""
+        """Starts or continues the save of an array task that is stopped with enough grace time."""
         job = self.world.specs[order.task.job]
         if job.gang or not job.checkpoint_s or order.grace_s < job.save_s or not job.save_s:
             return False
@@ -188,10 +200,10 @@
 
 
 class Gang:
-    """One attempt of a gang that has started: its tasks tick together."""
+    """A started attempt of a gang: its tasks advance together."""
 
     def __init__(self, now: float) -> None:
-        self.since = now
-        self.told_at: float | None = None  # the first order to stop it
-        self.broken_at: float | None = None  # one of them is gone, or its machine hangs
+        self.started_at = now
+        self.stop_ordered_at: float | None = None  # first stop order
+        self.incomplete_since: float | None = None  # a task is gone, or its machine hangs
         self.ended = False
