--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -110,8 +110,8 @@
 
     A machine that an earlier owner knew is not new: its time counts from the takeover.
     """
-    if machine.heard >= 0:
-        return context.now - machine.heard
+    if machine.last_message_at >= 0:
+        return context.now - machine.last_message_at
     if machine.record.stamp > machine.share.epoch:
         return -1.0
     return context.now - machine.share.since
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -274,7 +274,7 @@
             found = {
                 m.id: m
                 for m in machines.not_heard_since(now - limit)
-                if m.heard >= 0 or m.record.stamp <= holding.epoch
+                if m.last_message_at >= 0 or m.record.stamp <= holding.epoch
             }
             found |= {m.id: m for m in machines.suspected() if self.fleet.unreached_s(m) > limit}
             # If most machines are silent, this node is more likely cut off itself. Their leases
@@ -283,7 +283,11 @@
                 continue
             for machine in found.values():
                 if not machine.record.leaving and not machine.moving:
-                    why = "silent" if now - machine.heard > limit else "heard, but not reached"
+                    why = (
+                        "silent"
+                        if now - machine.last_message_at > limit
+                        else "heard, but not reached"
+                    )
                     self.context.log("warning", f"machine {machine.id}: {why}, returned")
                     self.change_record(machine, leaving=True)
 
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -40,7 +40,7 @@
     def allocated(self, cpus: float, lasting: float) -> None:
         """More is allocated on a machine, or less; `lasting`: of services."""
 
-    def heard(self, machine: Machine) -> None:
+    def last_message_at(self, machine: Machine) -> None:
         """A message of the machine was believed now."""
 
     def answered(self, machine: Machine) -> None:
@@ -154,7 +154,7 @@
         "expired_session",
         "fetches",
         "full_until",
-        "heard",
+        "last_message_at",
         "id",
         "images",
         "index",
@@ -207,7 +207,7 @@
         self.settled = record.stamp > holding.epoch
         self.expired_session = Session(0)
         self.last_answer = now if self.settled else holding.since
-        self.heard = LONG_AGO
+        self.last_message_at = LONG_AGO
         self.up_since = Instant(0.0)
         self.notice_until: Instant | None = None
         self.placements: dict[Key, Placement] = {}
@@ -243,9 +243,9 @@
 
     def note_heard(self, now: Instant) -> None:
         """A message of it is believed now."""
-        self.heard = now
+        self.last_message_at = now
         if self.index is not None:
-            self.index.heard(self)
+            self.index.last_message_at(self)
 
     def note_answer(self, now: Instant) -> None:
         """Its worker's lease counts from now at the latest."""
@@ -365,5 +365,5 @@
             or bool(self.reservations)
             or self.do_open
             or not self.settled
-            or (self.suspected and self.heard >= 0)
+            or (self.suspected and self.last_message_at >= 0)
         )
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -263,13 +263,13 @@
 
     def unreached_s(self, machine: Machine) -> float:
         """For how long has it been heard without showing that it is reached?"""
-        if not machine.suspected or machine.heard < 0:
+        if not machine.suspected or machine.last_message_at < 0:
             return 0.0
         return self.context.now - max(machine.suspected_at, machine.share.since)
 
     def silent_s(self, machine: Machine) -> float:
         """Seconds since the machine was heard."""
-        return self.context.now - machine.heard
+        return self.context.now - machine.last_message_at
 
     def _overdue_since(self) -> float:
         """Machines that were not heard since then have missed a report."""
@@ -287,7 +287,7 @@
         """Are all machines of the share that ever came up heard, and reached?"""
         machines = self.of_share(share)
         return not any(
-            m.heard >= 0
+            m.last_message_at >= 0
             for found in (machines.suspected(), machines.not_heard_since(self._overdue_since()))
             for m in found
         )
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -291,7 +291,7 @@
         if machine is None or not self.shares.may_command(share):
             self._answer(beat, ReportAnswer(beat.request, 503))
             return
-        before = machine.heard
+        before = machine.last_message_at
         if not self.fleet.reports.apply(beat.report):
             if self.fleet.reports.overtaken(beat.report):
                 self.fleet.answered(machine)
--- a/runcourse/core/reports.py
+++ b/runcourse/core/reports.py
@@ -95,7 +95,7 @@
     def _begin_session(self, machine: Machine, report: Report) -> None:
         """A message of a session, or of a machine, that was not heard before."""
         now = self.context.now
-        if report.session > machine.session or machine.heard < 0:
+        if report.session > machine.session or machine.last_message_at < 0:
             # A session's lease counts from its beginning, whatever was answered before; tasks
             # may be started in it by commands before any report of it is answered.
             machine.note_answer(now)
@@ -109,7 +109,7 @@
             machine.images.clear()
             machine.fetches = None
             machine.up_since = now
-        if machine.heard < 0:
+        if machine.last_message_at < 0:
             machine.up_since = now
             machine.suspected_at = now
             self.commands.wake(machine.id)  # an empty command shows that it can be reached
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -85,7 +85,7 @@
         self.used_cpus += cpus
         self.lasting_cpus += lasting
 
-    def heard(self, machine: Machine) -> None:
+    def last_message_at(self, machine: Machine) -> None:
         """A message of the machine was believed now."""
         self._unheard.pop(machine.id, None)
         self._by_heard.pop(machine.id, None)
@@ -126,7 +126,7 @@
     def not_heard_since(self, at: float) -> Iterable[Machine]:
         """Machines neither heard nor added after that instant."""
         for machine in self._by_heard.values():
-            if max(machine.heard, machine.added) >= at:
+            if max(machine.last_message_at, machine.added) >= at:
                 return
             yield machine
 
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -38,7 +38,7 @@
             "set_aside": now < m.quarantined_until,
             "leaving": m.record.leaving,
             "heat": node.policy.heat_of(m.id),
-            "heard_s": round(now - m.heard, 1) if m.heard > LONG_AGO else None,
+            "heard_s": round(now - m.last_message_at, 1) if m.last_message_at > LONG_AGO else None,
         }
         for m in node.fleet.machines.values()
     ]
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -52,7 +52,7 @@
                 "runcourse_machines_in_doubt",
                 "heard, but not shown to be reached",
                 sum(
-                    machine.suspected and machine.heard >= 0
+                    machine.suspected and machine.last_message_at >= 0
                     for machine in node.fleet.machines.values()
                 ),
             ),
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -23,14 +23,14 @@
     node, machine = owner_of(world, report.machine)
     world.workers[report.machine].alive = False
     world.run(4.0)
-    heard, images = machine.heard, dict(machine.images)
+    heard, images = machine.last_message_at, dict(machine.images)
     for late in (0.0, 1.0):
         world.run(late)
         resend_report(world, member, report)
-        assert machine.heard == heard and machine.images == images
+        assert machine.last_message_at == heard and machine.images == images
         assert not node.fleet.usable(machine)
     resend_report(world, member, report._replace(seq=report.seq + 10_000, token=0))
-    assert machine.heard == heard, "a token that goes back is of another life"
+    assert machine.last_message_at == heard, "a token that goes back is of another life"
 
 
 @CLUSTER_SIZES
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -90,7 +90,9 @@
     assert closed(world, machine)
     world.cut_links.clear()
     world.workers[str(machine.id)].hung = True
-    machine.heard = machine.last_answer = owner.context.now  # not taken for silent meanwhile
+    machine.last_message_at = machine.last_answer = (
+        owner.context.now
+    )  # not taken for silent meanwhile
     with patch.object(owner.fleet, "silence_limit_s", lambda: 1e6):
         world.run(VACATE_TIMEOUT_S)
     assert not closed(world, machine)
