--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -146,7 +146,7 @@
         "born",
         "counter",
         "did_well",
-        "do_after",
+        "next_command_at",
         "do_open",
         "draining_until",
         "empty_since",
@@ -219,7 +219,7 @@
         self.fetches: dict[str, float] | None = None  # images under way; None: to be counted
         self.images: OrderedDict[str, float] = OrderedDict()
         self.do_open = False
-        self.do_after = now
+        self.next_command_at = now
         # Reachable is more than heard: only a token of ours shown by the worker proves that
         # answers or commands arrive there. Until it shows this one, nothing new goes there,
         # and an order of unknown fate may yet be carried out.
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -133,7 +133,7 @@
         is answered with a list of all tasks there, and a machine of a hundred short ones would
         ask for one many times a second. Its next report tells as much."""
         gap = GAP_PER_TASK_S * len(machine.placements)
-        machine.do_after = max(machine.do_after, later(self.context.now, gap))
+        machine.next_command_at = max(machine.next_command_at, later(self.context.now, gap))
 
     def push(self) -> None:
         """Send what is new straight to the workers; the next report's answer repeats it."""
@@ -156,7 +156,7 @@
         return 2 * self._open_suspected >= self._most_open
 
     def _push_one(self, machine: Machine) -> None:
-        if machine.do_open or self.context.now < machine.do_after:
+        if machine.do_open or self.context.now < machine.next_command_at:
             # Looked at again when it may be told; not at every input until then.
             self._rest(machine)
             return
@@ -170,8 +170,8 @@
             self._command(machine, orders)
 
     def _rest(self, machine: Machine) -> None:
-        self._resting[machine.id] = machine.do_after
-        heapq.heappush(self._rests, (machine.do_after, machine.id))
+        self._resting[machine.id] = machine.next_command_at
+        heapq.heappush(self._rests, (machine.next_command_at, machine.id))
 
     def wake_rested(self) -> None:
         """Look again at the machines whose pause between two commands is over."""
@@ -233,7 +233,7 @@
 
     def _unanswered(self, machine: Machine, outcome: Outcome, first: list[Placement]) -> None:
         """A command without an answer; `first`: the tasks that it was the first to start."""
-        machine.do_after = later(self.context.now, FAILED_GAP_S)
+        machine.next_command_at = later(self.context.now, FAILED_GAP_S)
         if outcome.sent:
             # It may be executed at any time while token and session match.
             machine.mark_suspected(self.context.now)
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -208,10 +208,10 @@
         < 48 * 1024
     )
     node.fleet.commands.pace(machine)
-    assert machine.do_after >= node.context.now + 1.0
+    assert machine.next_command_at >= node.context.now + 1.0
     quick = next(m for m in node.fleet.machines.values() if m is not machine)
     node.fleet.commands.pace(quick)
-    assert quick.do_after <= node.context.now
+    assert quick.next_command_at <= node.context.now
 
 
 def test_one_team_s_flood_leaves_room_for_the_submissions_of_others() -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -60,7 +60,7 @@
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=True))
     assert machine.token > before and machine.suspected and machine.suspect_token == machine.token
     surely_lost = machine.token
-    machine.do_after = node.context.now
+    machine.next_command_at = node.context.now
     node.fleet.commands._dirty[machine.id] = None
     node.fleet.commands.push()
     command = next(e for e in reversed(node.context.effects) if isinstance(e, t.Command))
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -415,7 +415,7 @@
     commands = node.fleet.commands
     commands._most_open = 2
     for machine in node.fleet.machines.values():
-        machine.do_after = Instant(0.0)
+        machine.next_command_at = Instant(0.0)
         commands.suspect(machine)
     commands.push()
     assert commands._open == 1 and not commands._dirty
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -138,7 +138,7 @@
     machines = list(fleet.machines.values())
     assert len(machines) >= 3
     for machine in machines:
-        machine.do_after = Instant(0.0)
+        machine.next_command_at = Instant(0.0)
         fleet.commands.suspect(machine)
     told: set[str] = set()
     for _ in range(len(machines)):
