--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -166,7 +166,7 @@
         all_reachable = len(members) == work.job.spec.tasks and all(
             not m.machine.suspected
             and m.machine.addr
-            and not m.machine.do_open
+            and not m.machine.command_in_flight
             and self.fleet.silent_s(m.machine)
             < MAX_SILENT_INTERVALS * self.context.platform.settings.workers.report_s
             for m in members
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -147,7 +147,7 @@
         "counter",
         "did_well",
         "next_command_at",
-        "do_open",
+        "command_in_flight",
         "draining_until",
         "empty_since",
         "errors",
@@ -218,7 +218,7 @@
         self.ranks: dict[int, float] = {}  # CPUs of what is on it, by rank
         self.fetches: dict[str, float] | None = None  # images under way; None: to be counted
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.do_open = False
+        self.command_in_flight = False
         self.next_command_at = now
         # Reachable is more than heard: only a token of ours shown by the worker proves that
         # answers or commands arrive there. Until it shows this one, nothing new goes there,
@@ -363,7 +363,7 @@
         return (
             bool(self.placements)
             or bool(self.reservations)
-            or self.do_open
+            or self.command_in_flight
             or not self.settled
             or (self.suspected and self.last_message_at >= 0)
         )
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -110,7 +110,7 @@
         still carry an order to start this attempt. The same must hold for direct commands, or
         the attempt would start once more."""
         machine = placement.machine
-        return not machine.do_open and not machine.suspected and self._stored(placement)
+        return not machine.command_in_flight and not machine.suspected and self._stored(placement)
 
     @staticmethod
     def _forget(placement: Placement) -> Order:
@@ -156,7 +156,7 @@
         return 2 * self._open_suspected >= self._most_open
 
     def _push_one(self, machine: Machine) -> None:
-        if machine.do_open or self.context.now < machine.next_command_at:
+        if machine.command_in_flight or self.context.now < machine.next_command_at:
             # Looked at again when it may be told; not at every input until then.
             self._rest(machine)
             return
@@ -180,7 +180,7 @@
             if self._resting.get(id) != at:
                 continue
             machine = self.machines.get(id)
-            if machine is not None and machine.do_open:
+            if machine is not None and machine.command_in_flight:
                 continue  # woken by the answer to its command
             del self._resting[id]
             if machine is not None:
@@ -195,14 +195,14 @@
         self._open_suspected -= suspected
 
     def _command(self, machine: Machine, orders: tuple[Order, ...]) -> None:
-        machine.do_open = True
+        machine.command_in_flight = True
         suspected = machine.suspected
         self._opened(suspected)
         token, session, since = machine.token, machine.session, machine.known
         first = self._note_starts(machine)
 
         def done(outcome: Outcome) -> None:
-            machine.do_open = False
+            machine.command_in_flight = False
             self._closed(suspected)
             if self._resting.pop(machine.id, None) is not None:  # something came up meanwhile
                 self.wake(machine.id)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -224,7 +224,7 @@
         machine = next(iter(node.fleet.machines.values()))
         node.fleet.commands.suspect(machine)  # raises the token; a command would tell the worker
         async with asyncio.timeout(10):
-            while machine.next_command_at <= node.context.now - 0.5 or machine.do_open:
+            while machine.next_command_at <= node.context.now - 0.5 or machine.command_in_flight:
                 await asyncio.sleep(0.02)
         assert machine.suspected and worker.baton == baton
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -226,9 +226,9 @@
 
     assert cleared()
     assert not any(o.op == "forget" for o in node.fleet.commands.orders(machine, answering=False))
-    machine.do_open = True
+    machine.command_in_flight = True
     assert not cleared()
-    machine.do_open = False
+    machine.command_in_flight = False
     machine.mark_suspected(world.now)  # type: ignore[arg-type]
     assert not cleared()
 
