--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -166,7 +166,7 @@
         owned.used_cpus,
         {str(m.id): _machine_load(context, m) for m in machines},
         _demand_entries(context, share, fleet, scheduler),
-        owned.lasting_cpus if replicas else 0.0,
+        owned.service_cpus if replicas else 0.0,
     )
 
 
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -363,7 +363,7 @@
         unsettled: list[Machine],
     ) -> Turn:
         machines = self.fleet.of_share(holding.number)
-        self.scoring.begin(machines.lasting_cpus)
+        self.scoring.begin(machines.service_cpus)
 
         @cache
         def usable() -> list[Machine]:
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -29,7 +29,7 @@
         self._under_notice: dict[MachineId, Machine] = {}
         self._added = 0
         self.used_cpus = 0.0  # allocated on all of them
-        self.lasting_cpus = 0.0  # the same, by services
+        self.service_cpus = 0.0  # the same, by services
 
     def __len__(self) -> int:
         return len(self._machines)
@@ -52,7 +52,7 @@
         if machine.suspected:
             self._suspected[id] = machine
         self.used_cpus += machine.used.cpus
-        self.lasting_cpus += machine.lasting
+        self.service_cpus += machine.lasting
         self._by_room.setdefault(machine.room_level, {})[id] = machine
 
     def remove(self, machine: Machine) -> None:
@@ -71,9 +71,9 @@
         ):
             index.pop(id, None)
         self.used_cpus -= machine.used.cpus
-        self.lasting_cpus -= machine.lasting
+        self.service_cpus -= machine.lasting
         if not self._machines:
-            self.used_cpus = self.lasting_cpus = 0.0  # no rounding left over
+            self.used_cpus = self.service_cpus = 0.0  # no rounding left over
 
     def room_changed(self, machine: Machine, before: int) -> None:
         """The machine has another level of room than `before`."""
@@ -83,7 +83,7 @@
     def allocated(self, cpus: float, lasting: float) -> None:
         """More is allocated on a machine, or less; `lasting`: of services."""
         self.used_cpus += cpus
-        self.lasting_cpus += lasting
+        self.service_cpus += lasting
 
     def last_message_at(self, machine: Machine) -> None:
         """A message of the machine was believed now."""
