--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -50,8 +50,10 @@
         One machine with replicas always remains. A drained machine takes no new tasks, and its
         replicas move away once nothing else is left on it.
         """
-        machines = [m for m in self.fleet.of_share(share) if self.fleet.usable(m) and m.lasting > 0]
-        machines.sort(key=lambda m: (m.lasting, m.id))
+        machines = [
+            m for m in self.fleet.of_share(share) if self.fleet.usable(m) and m.service_cpus > 0
+        ]
+        machines.sort(key=lambda m: (m.service_cpus, m.id))
         for machine in machines[: min(number, len(machines) - 1)]:
             machine.draining_until = Instant(self.context.now + DRAIN_TIMEOUT_S)
             self._draining.append(machine)
@@ -98,7 +100,7 @@
         now = self.context.now
         found: list[tuple[float, str, Machine]] = []
         for machine in self.fleet.of_share(share):
-            if machine.lasting > 0 or not self.fleet.usable(machine) or not serves(machine):
+            if machine.service_cpus > 0 or not self.fleet.usable(machine) or not serves(machine):
                 continue
             remaining_s = [
                 max(0.0, p.job.spec.estimate_s - (now - p.ran_since if p.ran_since else 0.0))
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -252,7 +252,7 @@
             demand.size,
             lambda m: (
                 accepts(demand, m.record.type, m.record.zone, m.record.spot)
-                and not (request.entitled and m.lasting > 0)
+                and not (request.entitled and m.service_cpus > 0)
             ),
         )
         if machine is not None:
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -38,7 +38,7 @@
         """The machine has another level of room than `before`."""
 
     def allocated(self, cpus: float, lasting: float) -> None:
-        """More is allocated on a machine, or less; `lasting`: of services."""
+        """More is allocated on a machine, or less; `service_cpus`: of services."""
 
     def last_message_at(self, machine: Machine) -> None:
         """A message of the machine was believed now."""
@@ -159,7 +159,7 @@
         "images",
         "index",
         "last_answer",
-        "lasting",
+        "service_cpus",
         "moving",
         "notice_until",
         "placements",
@@ -232,7 +232,7 @@
         self.empty_since: Instant | None = now
         self.added = now
         self.draining_until = now  # its replicas move away, nothing new comes
-        self.lasting = 0.0  # CPUs of services placed on it
+        self.service_cpus = 0.0  # CPUs of services placed on it
         self.moving = False  # a change of its record is under way: nothing new goes there
 
     def unsettle(self) -> None:
@@ -288,7 +288,7 @@
 
     def add_lasting(self, cpus: float) -> None:
         """A service takes so many CPUs more, or fewer."""
-        self.lasting += cpus
+        self.service_cpus += cpus
         if self.index is not None:
             self.index.allocated(0.0, cpus)
 
@@ -296,7 +296,7 @@
         """Nothing is placed on it any more: no rounding is left over."""
         self.use(ZERO_SIZE)
         self.ranks.clear()
-        self.add_lasting(-self.lasting)
+        self.add_lasting(-self.service_cpus)
 
     def reserve(self, task: TaskId, size: Size) -> None:
         """Keep room for a task that is being moved here."""
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -59,7 +59,7 @@
         """
         assert machine.type is not None
         cpus = max(machine.type.cpus, MIN_CPUS)
-        fill = machine.lasting / cpus
+        fill = machine.service_cpus / cpus
         max_fill = max(
             MIN_REPLICA_FILL,
             min(MAX_REPLICA_FILL, MAX_REPLICA_CONCENTRATION * self._service_cpus / cpus),
@@ -69,7 +69,7 @@
         # Work that may use spot machines uses others only where those are kept for replicas anyway.
         penalty = (
             0.0
-            if machine.record.spot or machine.lasting > 0 or job.spec.service
+            if machine.record.spot or machine.service_cpus > 0 or job.spec.service
             else ON_DEMAND_PENALTY
         )
         return fill + FILL_WEIGHT * used.cpus / cpus - penalty
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -52,7 +52,7 @@
         if machine.suspected:
             self._suspected[id] = machine
         self.used_cpus += machine.used.cpus
-        self.service_cpus += machine.lasting
+        self.service_cpus += machine.service_cpus
         self._by_room.setdefault(machine.room_level, {})[id] = machine
 
     def remove(self, machine: Machine) -> None:
@@ -71,7 +71,7 @@
         ):
             index.pop(id, None)
         self.used_cpus -= machine.used.cpus
-        self.service_cpus -= machine.lasting
+        self.service_cpus -= machine.service_cpus
         if not self._machines:
             self.used_cpus = self.service_cpus = 0.0  # no rounding left over
 
@@ -81,7 +81,7 @@
         self._by_room.setdefault(machine.room_level, {})[machine.id] = machine
 
     def allocated(self, cpus: float, lasting: float) -> None:
-        """More is allocated on a machine, or less; `lasting`: of services."""
+        """More is allocated on a machine, or less; `service_cpus`: of services."""
         self.used_cpus += cpus
         self.service_cpus += lasting
 
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -32,7 +32,7 @@
     every = list(machines)
     assert [m.position for m in every] == sorted(m.position for m in every)
     assert machines.used_cpus == pytest.approx(sum(m.used.cpus for m in every))
-    assert machines.service_cpus == pytest.approx(sum(m.lasting for m in every))
+    assert machines.service_cpus == pytest.approx(sum(m.service_cpus for m in every))
     assert ids(machines.unsettled()) == ids(m for m in every if not m.settled)
     assert ids(machines.suspected()) == ids(m for m in every if m.suspected)
     assert ids(machines.under_notice()) == ids(m for m in every if m.notice_until is not None)
