--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -286,7 +286,7 @@
         if self.index is not None and self.room_level != before:
             self.index.room_changed(self, before)
 
-    def add_lasting(self, cpus: float) -> None:
+    def add_service_cpus(self, cpus: float) -> None:
         """A service takes so many CPUs more, or fewer."""
         self.service_cpus += cpus
         if self.index is not None:
@@ -296,7 +296,7 @@
         """Nothing is placed on it any more: no rounding is left over."""
         self.use(ZERO_SIZE)
         self.ranks.clear()
-        self.add_lasting(-self.service_cpus)
+        self.add_service_cpus(-self.service_cpus)
 
     def reserve(self, task: TaskId, size: Size) -> None:
         """Keep room for a task that is being moved here."""
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -95,7 +95,7 @@
         if placement.stage in RUNNING:
             self._count_running(placement.task.job, 1)
         if placement.job is not None and placement.job.spec.service:
-            placement.machine.add_lasting(placement.size.cpus)
+            placement.machine.add_service_cpus(placement.size.cpus)
         self.by_task.setdefault(placement.task, []).append(placement)
         self.observer.placement_added(placement)
 
@@ -110,7 +110,7 @@
         if stage in RUNNING:
             self._count_running(placement.task.job, -1)
         if placement.job is not None and placement.job.spec.service:
-            placement.machine.add_lasting(-placement.size.cpus)
+            placement.machine.add_service_cpus(-placement.size.cpus)
         task_placements = self.by_task[placement.task]
         task_placements.remove(placement)
         if not task_placements:
