--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -65,7 +65,7 @@
             return True
         machines = self.fleet.machines
         well = sum(
-            id in machines and self.context.now - machines[id].did_well < FAULTY_S
+            id in machines and self.context.now - machines[id].last_success_at < FAULTY_S
             for id in work.errors
         )
         return well >= 2 or (
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -145,7 +145,7 @@
         "asked_at",
         "born",
         "counter",
-        "did_well",
+        "last_success_at",
         "next_command_at",
         "command_in_flight",
         "draining_until",
@@ -228,7 +228,7 @@
         self.full_until = now
         self.quarantined_until = now
         self.errors: dict[JobId, Instant] = {}  # whose tasks failed here since one did well
-        self.did_well = LONG_AGO  # when a task last completed here
+        self.last_success_at = LONG_AGO  # when a task last completed here
         self.empty_since: Instant | None = now
         self.added = now
         self.draining_until = now  # its replicas move away, nothing new comes
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -233,7 +233,7 @@
             for number in range(work.job.spec.tasks) if work.job.spec.gang else (index,):
                 self.finishes.add(work, number)
             machine.errors.clear()
-            machine.did_well = now
+            machine.last_success_at = now
             self.policy.finished(placement, now - placement.ran_since)
             self.failures.note_success(work)
         elif why == "error":
