--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -337,7 +337,7 @@
             rank = STOPPING if placement.stopping else placement.job.spec.rank
             self.ranks[rank] = self.ranks.get(rank, 0.0) + sign * placement.size.cpus
 
-    def below(self, rank: int) -> float:
+    def cpus_with_preemption(self, rank: int) -> float:
         """CPUs free, or held by what ranks lower than that or is being stopped."""
         return self.room.cpus + sum(cpus for r, cpus in self.ranks.items() if r > rank)
 
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -105,7 +105,7 @@
                 for m in turn.usable()
                 if m.id not in turn.claimed
                 and m.id not in turn.reserved
-                and m.below(rank) >= min_cpus
+                and m.cpus_with_preemption(rank) >= min_cpus
                 and permits(job, m)
             ],
             CANDIDATES_PER_TASK * missing,
@@ -159,7 +159,7 @@
             and permits(job, m)
             and turn.reserved.get(m.id, job.uid) == job.uid
             and zone_allows_task(work, m.record.zone)
-            and m.below(job.spec.rank - guaranteed) >= job.size.cpus - CPU_TOLERANCE
+            and m.cpus_with_preemption(job.spec.rank - guaranteed) >= job.size.cpus - CPU_TOLERANCE
         ]
         self.budget.charge_tasks(pool)
         zones: dict[str, list[tuple[float, str, Machine, int]]] = {}
