--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -283,7 +283,7 @@
             for machine in self.of_share(number).not_heard_since(self._overdue_since())
         ]
 
-    def all_heard(self, share: ShareNo) -> bool:
+    def all_machines_reachable(self, share: ShareNo) -> bool:
         """Are all machines of the share that ever came up heard, and reached?"""
         machines = self.of_share(share)
         return not any(
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -96,7 +96,7 @@
         )
         self.fleet = Fleet(context, self.store, self.shares, self.jobs, self.scheduler)
         self.scheduler.connect(self.fleet, self.authority, self.versions)
-        self.shares.all_heard = self.fleet.all_heard
+        self.shares.all_machines_reachable = self.fleet.all_machines_reachable
         self.rental = Rental(
             context,
             self.store,
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -89,7 +89,7 @@
         # assigned to the given number of shares; empty: the order of their names. The second
         # returns whether all machines of a share report.
         self.team_order: Callable[[int], list[str]] = lambda shares: []
-        self.all_heard: Callable[[ShareNo], bool] = lambda share: True
+        self.all_machines_reachable: Callable[[ShareNo], bool] = lambda share: True
         store.listen(SHARE, self._changed)
         store.listen(MAPPING, self._mapping_changed)
 
@@ -311,7 +311,10 @@
         if self.context.now - holding.since < HANDBACK_AFTER_S:
             return
         # The next owner must locate the share's tasks anew, and would wait for each silent machine.
-        if not self.all_heard(share) and self.context.now - holding.since < HANDBACK_DEADLINE_S:
+        if (
+            not self.all_machines_reachable(share)
+            and self.context.now - holding.since < HANDBACK_DEADLINE_S
+        ):
             return
         # Nothing is commanded until the answer, because the home node commands once it is stored.
         holding.handing_back = True
