--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -279,7 +279,7 @@
             found |= {m.id: m for m in machines.suspected() if self.fleet.unreached_s(m) > limit}
             # If most machines are silent, this node is more likely cut off itself. Their leases
             # end all the same, because their reports are not answered.
-            if len(found) > max(1, machines.known(holding.epoch) // 2):
+            if len(found) > max(1, machines.count_ever_seen(holding.epoch) // 2):
                 continue
             for machine in found.values():
                 if not machine.record.leaving and not machine.moving:
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -139,7 +139,7 @@
             found.append(machine)
         return found
 
-    def known(self, epoch: int) -> int:
+    def count_ever_seen(self, epoch: int) -> int:
         """How many machines were ever heard, here or by an earlier owner."""
         return len(self._machines) - sum(m.record.stamp > epoch for m in self._unheard.values())
 
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -44,7 +44,7 @@
     for holding in node.shares.owned.values():
         if node.fleet.of_share(holding.number) is machines:
             known = [m for m in every if m.last_message_at >= 0 or m.record.stamp <= holding.epoch]
-            assert machines.known(holding.epoch) == len(known)
+            assert machines.count_ever_seen(holding.epoch) == len(known)
 
 
 def ids(machines: Any) -> set[MachineId]:
