--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -314,7 +314,7 @@
         return self.token
 
     @property
-    def known(self) -> Known:
+    def known_state(self) -> Known:
         """What is known of the worker now."""
         return Known((self.session, self.seq), self.token_seen)
 
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -76,7 +76,7 @@
         machine.probing = True
         self._opened(True)
         machine.asked_at = now
-        since = machine.known
+        since = machine.known_state
 
         def done(outcome: Outcome) -> None:
             machine.probing = False
@@ -198,7 +198,7 @@
         machine.command_in_flight = True
         suspected = machine.suspected
         self._opened(suspected)
-        token, session, since = machine.token, machine.session, machine.known
+        token, session, since = machine.token, machine.session, machine.known_state
         first = self._note_starts(machine)
 
         def done(outcome: Outcome) -> None:
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -140,7 +140,7 @@
     node, machine = owner_of(world, id)
     worker = world.workers[id]
     report = worker.report()
-    node.fleet.reports.apply(worker.report(), machine.known)
+    node.fleet.reports.apply(worker.report(), machine.known_state)
     answers: list[t.ReportAnswer] = []
     world.ask(id, node.context.me, t.ReportReceived(0, report), answers.append)
     world.run(0.1)
@@ -228,7 +228,7 @@
     the last answer to the session before was a lease ago; it ran twice."""
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
-    since = machine.known
+    since = machine.known_state
     machine.last_answer = Instant(node.context.now - node.context.lease_s + 0.1)
     live = t.Report(
         machine.id,
@@ -292,7 +292,7 @@
         None,
         (),
     )
-    since = machine.known
+    since = machine.known_state
     live = old._replace(session=Session(1), seq=0, token=Token(0))
     assert node.fleet.reports.apply(live, since)
     assert machine.session == 1 and machine.suspected
