--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -292,7 +292,7 @@
         if self.index is not None:
             self.index.allocated(0.0, cpus)
 
-    def emptied(self) -> None:
+    def clear_usage(self) -> None:
         """Nothing is placed on it any more: no rounding is left over."""
         self.use(ZERO_SIZE)
         self.ranks.clear()
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -135,7 +135,7 @@
             placement.stage, placement.stage_before = "ended", stage
             self._deactivate(placement, stage)
         if not machine.placements:
-            machine.emptied()
+            machine.clear_usage()
             machine.empty_since = self.context.now
         if active:
             self.observer.attempt_ended(placement, reason)
