--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -272,9 +272,9 @@
     def set_type(self, type_: MachineType | None) -> None:
         """Its type became known, or changed."""
         self.type = type_
-        self.use(self.used)
+        self.set_used(self.used)
 
-    def use(self, used: Size) -> None:
+    def set_used(self, used: Size) -> None:
         """Set what is allocated on it."""
         if self.index is not None:
             self.index.allocated(used.cpus - self.used.cpus, 0.0)
@@ -294,19 +294,19 @@
 
     def clear_usage(self) -> None:
         """Nothing is placed on it any more: no rounding is left over."""
-        self.use(ZERO_SIZE)
+        self.set_used(ZERO_SIZE)
         self.ranks.clear()
         self.add_service_cpus(-self.service_cpus)
 
     def reserve(self, task: TaskId, size: Size) -> None:
         """Keep room for a task that is being moved here."""
         self.reservations[task] = size
-        self.use(self.used)
+        self.set_used(self.used)
 
     def unreserve(self, task: TaskId) -> None:
         """Let the room go that was kept for the task."""
         self.reservations.pop(task, None)
-        self.use(self.used)
+        self.set_used(self.used)
 
     def raise_fence(self) -> Token:
         """Raise the token and return it: earlier commands can't be carried out any more."""
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -88,7 +88,7 @@
         self._activate(placement)
 
     def _activate(self, placement: Placement) -> None:
-        placement.machine.use(placement.machine.used.plus(placement.size))
+        placement.machine.set_used(placement.machine.used.plus(placement.size))
         placement.machine.count_rank(placement, 1)
         placement.machine.fetches = None
         self._by_job.setdefault(placement.task.job, {})[placement] = None
@@ -100,7 +100,7 @@
         self.observer.placement_added(placement)
 
     def _deactivate(self, placement: Placement, stage: str) -> None:
-        placement.machine.use(placement.machine.used.minus(placement.size))
+        placement.machine.set_used(placement.machine.used.minus(placement.size))
         placement.machine.count_rank(placement, -1)
         placement.machine.fetches = None
         job_placements = self._by_job[placement.task.job]
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -44,7 +44,7 @@
     made = bare_machine()
     made.id = MachineId(name)
     made.record = made.record._replace(zone=zone)
-    made.use(Size(used, used))
+    made.set_used(Size(used, used))
     return made
 
 
@@ -91,7 +91,7 @@
     one = machine()
 
     def look(used: float, seconds: float) -> Heat:
-        one.use(Size(used, 0.0))
+        one.set_used(Size(used, 0.0))
         tracker.observe(one, at(seconds))
         return tracker.heat(one.id)
 
