--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -311,7 +311,7 @@
         self.scheduler.run_turns()
         self.fleet.answered(machine)
         orders = self.fleet.commands.orders(machine, answering=True)  # may raise the token
-        self.fleet.commands.pace(machine)
+        self.fleet.commands.delay_next_command(machine)
         self._answer(
             beat,
             ReportAnswer(beat.request, 200, machine.token, orders, until=self.authority.ends_at()),
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -128,7 +128,7 @@
             job.final or job.spec.service or job.is_done(placement.task.number)
         )
 
-    def pace(self, machine: Machine) -> None:
+    def delay_next_command(self, machine: Machine) -> None:
         """Whether it was told by an answer or a command, the next command waits a moment: each
         is answered with a list of all tasks there, and a machine of a hundred short ones would
         ask for one many times a second. Its next report tells as much."""
@@ -210,7 +210,7 @@
                 return
             if isinstance(outcome.body, Report):
                 self.apply_report(outcome.body, since)
-                self.pace(machine)
+                self.delay_next_command(machine)
                 if outcome.status == 409 and machine.session == session:
                     self.context.log("info", f"machine {machine.id} refused token {token}")
             else:
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -207,10 +207,10 @@
         )
         < 48 * 1024
     )
-    node.fleet.commands.pace(machine)
+    node.fleet.commands.delay_next_command(machine)
     assert machine.next_command_at >= node.context.now + 1.0
     quick = next(m for m in node.fleet.machines.values() if m is not machine)
-    node.fleet.commands.pace(quick)
+    node.fleet.commands.delay_next_command(quick)
     assert quick.next_command_at <= node.context.now
 
 
