--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -17,7 +17,7 @@
 from .ids import JobId, MachineId, TaskId
 from .jobs import Job
 from .machine import Machine
-from .machines import MOST_LISTED, Fleet
+from .machines import MAX_LISTED_TASKS, Fleet
 from .placement import ZERO_SIZE, Size, count_fitting
 from .preemption import Preemption
 from .quota import Quota
@@ -131,7 +131,7 @@
         """Returns a plan on these machines, or None if it can't be completed."""
         job, count = work.job, len(work.pending)
         room = {
-            m.id: min(count_fitting(job.size, m.room), MOST_LISTED - len(m.placements))
+            m.id: min(count_fitting(job.size, m.room), MAX_LISTED_TASKS - len(m.placements))
             for m in machines
         }
         if sum(room.values()) < count:
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -29,7 +29,7 @@
 from .worker_commands import WorkerCommands
 
 LOOK_EVERY_S = 0.2
-MOST_LISTED = 400  # tasks, ended ones too: a report must stay far below the protocol's 64 KiB
+MAX_LISTED_TASKS = 400  # tasks, ended ones too: a report must stay far below the protocol's 64 KiB
 
 
 RecordWatcher = Callable[[MachineId, Record | None, Record | None], None]  # before and after
@@ -304,7 +304,7 @@
             and not machine.moving
             and machine.notice_until is None
             # Where finishes can't be stored for long, what ended gathers in the reports.
-            and len(machine.placements) < MOST_LISTED
+            and len(machine.placements) < MAX_LISTED_TASKS
             and self.silent_s(machine) < 1.25 * report_s + 1.0
             and self.context.now >= machine.quarantined_until
             and self.context.now >= machine.draining_until
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -19,7 +19,7 @@
 from .image_supply import ImageSupply
 from .jobs import Job, Jobs
 from .machine import Machine, Placement
-from .machines import MOST_LISTED, Fleet
+from .machines import MAX_LISTED_TASKS, Fleet
 from .migrations import Migrations
 from .order import QueueOrder
 from .placement import Size
@@ -352,7 +352,7 @@
         It lacks them only if millions of tasks would start before anything is stored.
         """
         pending = sum(len(work.pending) for work in waiting)
-        max_starts = MOST_LISTED * len(self.fleet.of_share(holding.number))
+        max_starts = MAX_LISTED_TASKS * len(self.fleet.of_share(holding.number))
         return holding.has_attempt_numbers(min(pending, max_starts), self.store.applied)
 
     def _prepare_turn(
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -12,7 +12,7 @@
 from .gang_placement import GangPlacement
 from .ids import ShareNo, TaskId
 from .machine import Machine
-from .machines import MOST_LISTED, Fleet
+from .machines import MAX_LISTED_TASKS, Fleet
 from .order import QueueOrder
 from .placement import count_fitting
 from .preemption import Preemption
@@ -239,7 +239,7 @@
         self.fleet.placements.place(job, task.number, machine, machine.share.next_attempt())
         waited = self.context.now - job.submitted
         self.context.log("debug", f"{task} placed on {machine.id}, {waited:.2f} s after its job")
-        if job.size.fits(machine.room) and len(machine.placements) < MOST_LISTED:
+        if job.size.fits(machine.room) and len(machine.placements) < MAX_LISTED_TASKS:
             heapq.heapreplace(scored, (-self.scoring.score(job, machine), index, machine))
         else:
             heapq.heappop(scored)
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -11,7 +11,7 @@
 from runcourse.core import types as t
 from runcourse.core.ids import Instant, JobId, Stamp
 from runcourse.core.jobs import PAGE_BITS, Job
-from runcourse.core.machines import MOST_LISTED
+from runcourse.core.machines import MAX_LISTED_TASKS
 from runcourse.wire.codec import encode
 from runcourse.wire.messages import commands
 
@@ -192,7 +192,7 @@
     world.run(4.0)
     node, machine = owner_of_some(world)
     job = Job(spec("j-000510", tasks=2000, cpus=0.01, memory=0.01), Stamp(1))
-    for n in range(MOST_LISTED):
+    for n in range(MAX_LISTED_TASKS):
         node.fleet.placements.place(job, n, machine, machine.share.next_attempt())
     assert not node.fleet.usable(machine)
     assert (
