--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -16,7 +16,7 @@
 PROBE_MOST_S = 60.0
 FAULTY_AT = 2  # jobs without a mistake that failed on a machine: its fault
 FAULTY_S = 120.0  # within which, and for which it is set aside
-FAILS = "fails wherever it starts"
+FAILS_EVERYWHERE_REASON = "fails wherever it starts"
 PAUSE_S = 5.0  # a machine's after a first failure
 
 
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -8,7 +8,7 @@
 
 from .budget import TurnBudget
 from .context import Context
-from .failures import FAILS, Failures
+from .failures import FAILS_EVERYWHERE_REASON, Failures
 from .gang_placement import GangPlacement
 from .ids import ShareNo, TaskId
 from .machine import Machine
@@ -144,7 +144,7 @@
         if self.failures.goes_well(work):
             self.failures.note_success(work)
             return
-        work.wait_reason = FAILS
+        work.wait_reason = FAILS_EVERYWHERE_REASON
         if self.context.now < work.not_before or any(work.zones.values()):
             return
         candidates = self._candidates(turn, work, turn.machines_with_room)
@@ -154,7 +154,7 @@
             self._serve_gang(turn, work, candidates, may_preempt=False)
         elif candidates:
             self._place_tasks(turn, work, candidates, False, 1)
-        work.wait_reason = FAILS
+        work.wait_reason = FAILS_EVERYWHERE_REASON
 
     def _candidates(self, turn: Turn, work: Work, machines: Iterable[Machine]) -> list[Machine]:
         """Returns the machines that have room for a task of the job and allow it."""
