--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -26,7 +26,7 @@
 from .types import MachineType
 
 Key = tuple[TaskId, Attempt]
-RUNNING = ("running", "saving")
+RUNNING_STAGES = ("running", "saving")
 STOPPING = 1_000  # counted below every rank
 ROOM_SLACK = 1e-9  # rounding left over by sums of sizes
 
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -15,7 +15,7 @@
 from .context import Context
 from .ids import Attempt, JobId, MachineId, TaskId
 from .jobs import Job
-from .machine import RUNNING, Machine, Placement
+from .machine import RUNNING_STAGES, Machine, Placement
 from .running_counts import RunningPages
 from .types import TaskReport
 
@@ -92,7 +92,7 @@
         placement.machine.count_rank(placement, 1)
         placement.machine.fetches = None
         self._by_job.setdefault(placement.task.job, {})[placement] = None
-        if placement.stage in RUNNING:
+        if placement.stage in RUNNING_STAGES:
             self._count_running(placement.task.job, 1)
         if placement.job is not None and placement.job.spec.service:
             placement.machine.add_service_cpus(placement.size.cpus)
@@ -107,7 +107,7 @@
         del job_placements[placement]
         if not job_placements:
             del self._by_job[placement.task.job]
-        if stage in RUNNING:
+        if stage in RUNNING_STAGES:
             self._count_running(placement.task.job, -1)
         if placement.job is not None and placement.job.spec.service:
             placement.machine.add_service_cpus(-placement.size.cpus)
@@ -190,8 +190,8 @@
             self._end_attempt(placement, before, entry.cause)
         elif before == "ended":
             self._activate(placement)
-        elif (before in RUNNING) != (entry.stage in RUNNING):
-            self._count_running(entry.task.job, 1 if entry.stage in RUNNING else -1)
+        elif (before in RUNNING_STAGES) != (entry.stage in RUNNING_STAGES):
+            self._count_running(entry.task.job, 1 if entry.stage in RUNNING_STAGES else -1)
         if job is not None and (entry.stage in ("waiting", "running") or entry.cause == "done"):
             machine.remember_image(job)
             if entry.stage != "waiting":
