--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -28,7 +28,7 @@
         self.fleet = fleet
         self._changed = changed
 
-    def failed(self, work: Work, placement: Placement) -> None:
+    def record_failure(self, work: Work, placement: Placement) -> None:
         """A machine on which tasks of several jobs fail is set aside; a job that fails on
         several machines, and does well on none, fails everywhere, which is no machine's fault."""
         now = self.context.now
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -237,7 +237,7 @@
             self.policy.finished(placement, now - placement.ran_since)
             self.failures.note_success(work)
         elif why == "error":
-            self.failures.failed(work, placement)
+            self.failures.record_failure(work, placement)
         elif why in ("full", "busy"):
             machine.full_until = Instant(now + MACHINE_FULL_BACKOFF_S)
         elif why == "unknown":
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -160,7 +160,7 @@
     machine = next(m for m in node.fleet.of_share(work.share) if m.placements)
     placement = next(p for p in machine.placements.values() if p.active)
     placement.ran_since = Instant(node.context.now - 0.5)
-    node.scheduler.failures.failed(work, placement)
+    node.scheduler.failures.record_failure(work, placement)
     assert not work.fails_everywhere
 
 
