--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -73,9 +73,9 @@
         )
 
     def _does_well(self, work: Work) -> bool:
-        return bool(work.job.done_count or work.unstored_done_bits) or self.goes_well(work)
+        return bool(work.job.done_count or work.unstored_done_bits) or self.runs_past_failures(work)
 
-    def goes_well(self, work: Work) -> bool:
+    def runs_past_failures(self, work: Work) -> bool:
         """Has a task of the job run for longer than those that failed?"""
         enough = 1.5 * work.max_time_to_failure_s + 1.0
         return any(
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -141,7 +141,7 @@
         It uses room that no other work took, preferably on a machine where the job has not failed
         yet and that holds its image.
         """
-        if self.failures.goes_well(work):
+        if self.failures.runs_past_failures(work):
             self.failures.note_success(work)
             return
         work.wait_reason = FAILS_EVERYWHERE_REASON
