--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -43,7 +43,7 @@
         # Commands and questions to workers are bounded by the sockets there are for them;
         # machines that may not answer take no more than half, so that others never wait for them.
         sockets = context.platform.settings.quota.sockets(len(context.members))
-        self._most_open = sockets.commands
+        self._max_open = sockets.commands
         self._open = 0
         self._open_suspected = 0
 
@@ -139,12 +139,12 @@
         """Send what is new straight to the workers; the next report's answer repeats it."""
         if self._dirty:
             self._push_dirty()
-        while self._parked and not self._suspected_are_many() and self._open < self._most_open:
+        while self._parked and not self._suspected_are_many() and self._open < self._max_open:
             self.wake(next(iter(self._parked)))
             self._push_dirty()
 
     def _push_dirty(self) -> None:
-        while self._dirty and self._open < self._most_open:
+        while self._dirty and self._open < self._max_open:
             id = next(iter(self._dirty))
             del self._dirty[id]
             machine = self.machines.get(id)
@@ -153,7 +153,7 @@
 
     def _suspected_are_many(self) -> bool:
         """Do commands to machines that may not answer take all that they may?"""
-        return 2 * self._open_suspected >= self._most_open
+        return 2 * self._open_suspected >= self._max_open
 
     def _push_one(self, machine: Machine) -> None:
         if machine.command_in_flight or self.context.now < machine.next_command_at:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -413,7 +413,7 @@
     world = ready(machines=12)
     node, _ = owner_of_some(world)
     commands = node.fleet.commands
-    commands._most_open = 2
+    commands._max_open = 2
     for machine in node.fleet.machines.values():
         machine.next_command_at = Instant(0.0)
         commands.suspect(machine)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -134,7 +134,7 @@
     world: World = ready(machines=12)
     node, _ = owner_of_some(world)
     fleet = node.fleet
-    fleet.commands._most_open = 4
+    fleet.commands._max_open = 4
     machines = list(fleet.machines.values())
     assert len(machines) >= 3
     for machine in machines:
