--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -37,7 +37,9 @@
         self.machines = machines
         self.apply_report = apply_report
         self._dirty: dict[MachineId, None] = {}  # to be told something, in turn
-        self._parked: dict[MachineId, None] = {}  # suspected ones that wait for a connection
+        self._waiting_suspected: dict[
+            MachineId, None
+        ] = {}  # suspected ones that wait for a connection
         self._resting: dict[MachineId, Instant] = {}  # the same, but not before
         self._rests: list[tuple[Instant, MachineId]] = []  # heap of those ends, some outdated
         # Commands and questions to workers are bounded by the sockets there are for them;
@@ -53,7 +55,7 @@
 
     def wake(self, id: MachineId) -> None:
         """The worker has to be told something, or shown that it can be reached."""
-        self._parked.pop(id, None)
+        self._waiting_suspected.pop(id, None)
         self._dirty[id] = None
 
     def suspect(self, machine: Machine, since: Instant | None = None) -> None:
@@ -139,8 +141,12 @@
         """Send what is new straight to the workers; the next report's answer repeats it."""
         if self._dirty:
             self._push_dirty()
-        while self._parked and not self._suspected_are_many() and self._open < self._max_open:
-            self.wake(next(iter(self._parked)))
+        while (
+            self._waiting_suspected
+            and not self._suspected_are_many()
+            and self._open < self._max_open
+        ):
+            self.wake(next(iter(self._waiting_suspected)))
             self._push_dirty()
 
     def _push_dirty(self) -> None:
@@ -162,7 +168,7 @@
             return
         if machine.suspected and self._suspected_are_many():
             # Looked at again when one of them was answered: a whole fleet may wait here.
-            self._parked[machine.id] = None
+            self._waiting_suspected[machine.id] = None
             return
         orders = self.orders(machine, answering=False)
         fencing = any(p.fence > machine.token_seen for p in machine.placements.values())
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -419,13 +419,13 @@
         commands.suspect(machine)
     commands.push()
     assert commands._open == 1 and not commands._dirty
-    assert len(commands._parked) == len(node.fleet.machines) - 1
-    waiting = next(iter(commands._parked))
+    assert len(commands._waiting_suspected) == len(node.fleet.machines) - 1
+    waiting = next(iter(commands._waiting_suspected))
     command = next(e for e in node.context.effects if isinstance(e, t.Command))
     node.context.effects.clear()
     command.tag(t.Outcome(command.tag, 0, None, sent=False, began=node.context.now))
     commands.push()
-    assert waiting not in commands._parked, "the one that waited for longest is next"
+    assert waiting not in commands._waiting_suspected, "the one that waited for longest is next"
 
 
 def test_connections_of_many_workers_give_way_in_turn() -> None:
