--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -65,7 +65,7 @@
         self.addrs: dict[MachineId, str] = {}
         self._of_share: dict[ShareNo, ShareMachines] = {}
         self._type_pages: dict[str, list[Any]] = {}
-        self._looked_at = LONG_AGO
+        self._leases_checked_at = LONG_AGO
         self._given: dict[MachineId, tuple[Instant, TransferredState]] = {}
         self.commands = WorkerCommands(context, shares, jobs, self.machines, self._apply)
         self.placements = PlacementTable(context, observer, self.commands.wake)
@@ -215,8 +215,8 @@
         """Note leases that have run out, and shares whose tasks are all located."""
         now = self.context.now
         self.commands.wake_rested()
-        if now >= self._looked_at + LOOK_EVERY_S:
-            self._looked_at = now
+        if now >= self._leases_checked_at + LOOK_EVERY_S:
+            self._leases_checked_at = now
             oldest = now - self.context.lease_s
             for number in list(self.shares.owned):
                 # Without authority nothing is sure: another may have answered it meanwhile, as
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -59,7 +59,7 @@
     assert shares <= taken
     # Before any input tells of it: it concludes nothing about leases that another renewed.
     held = list(node.fleet.placements.by_task)
-    node.fleet._looked_at = Instant(0.0)
+    node.fleet._leases_checked_at = Instant(0.0)
     node.context.now = Instant(world.now)
     node.fleet.tick()
     assert held and list(node.fleet.placements.by_task) == held
