--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -76,7 +76,7 @@
         """Handles a request of the leader, or the machine state sent by a former owner."""
         match request:
             case TransferredState():
-                self.fleet.given(request)
+                self.fleet.accept_transferred_state(request)
             case VacateMachine():
                 self._vacate(request)
             case YieldMachines():
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -157,7 +157,7 @@
             list(machine.images.items()),
         )
 
-    def given(self, state: TransferredState) -> None:
+    def accept_transferred_state(self, state: TransferredState) -> None:
         """A former owner passes a machine's state on, perhaps before its record is seen."""
         self._given[state.machine] = (self.context.now, state)
         machine = self.machines.get(state.machine)
