--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -137,7 +137,7 @@
             machine.id not in self._pending_records
             and machine.id not in self.fleet.records
             and machine.id not in self.returned
-            and machine.id not in self.fleet.gone
+            and machine.id not in self.fleet.removed_ids
             and machine.type in self.fleet.types
         )
 
@@ -201,7 +201,7 @@
         longer leads.
         """
         for id in ids:
-            if id in self.fleet.records or id in self.fleet.gone:
+            if id in self.fleet.records or id in self.fleet.removed_ids:
                 self._remove_pending(id)
             else:
                 self._record([id], Store.OWNER)
--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -113,7 +113,7 @@
 
     def prune(self) -> None:
         """Forgets returned machines that the store lists as gone."""
-        self.adoption.returned -= self.fleet.gone
+        self.adoption.returned -= self.fleet.removed_ids
 
     def _read_list(self) -> None:
         began = self.context.now
@@ -135,7 +135,7 @@
         for machine in machines:
             present.add(machine.id)
             first = self._first_listed.setdefault(machine.id, began)
-            if machine.id in self.adoption.returned or machine.id in self.fleet.gone:
+            if machine.id in self.adoption.returned or machine.id in self.fleet.removed_ids:
                 continue
             self.fleet.learn_addr(machine.id, machine.addr)
             if machine.id not in self.fleet.records:
@@ -202,14 +202,14 @@
 
     def _forget_gone(self, added: int) -> None:
         """Bounds the stored ids of returned machines by forgetting more of them than were added."""
-        surplus = len(self.fleet.gone) - GONE_IDS_PER_MACHINE * max(
+        surplus = len(self.fleet.removed_ids) - GONE_IDS_PER_MACHINE * max(
             self.largest_fleet, MIN_FLEET_FOR_GONE_IDS
         )
         if surplus <= 0:
             return
         size = max(1, self.context.limits.txn_ops)
         number = min(surplus, size + FORGOTTEN_PER_ADDED * added)
-        oldest = heapq.nsmallest(number, self.fleet.gone, key=creation_order)
+        oldest = heapq.nsmallest(number, self.fleet.removed_ids, key=creation_order)
         for start in range(0, len(oldest), size):
             self.store.commit(
                 [self.guard()],
@@ -240,7 +240,7 @@
         The machine may come from a late hire or an old fleet, or the report may be a late copy
         from a machine that is gone. Nodes that don't lead pass it on to the leader.
         """
-        if report.machine in self.fleet.gone:
+        if report.machine in self.fleet.removed_ids:
             return
         if self.leading():
             self._check_unknown(report.machine, report.addr, report.type, report.zone, report.spot)
@@ -267,7 +267,7 @@
         A report alone doesn't prove that; the cloud's list does, or the worker's answer to a
         probe sent now.
         """
-        if id in self.fleet.gone or id in self.adoption.returned or id in self.fleet.records:
+        if id in self.fleet.removed_ids or id in self.adoption.returned or id in self.fleet.records:
             return
         if id in self._listed_now:
             self.adoption.adopt([FoundMachine(id, type_, zone, spot)])
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -61,7 +61,7 @@
         self.watch_record: RecordWatcher = _watch_nothing  # set by who plans for the fleet
         self.machines: dict[MachineId, Machine] = {}
         self.types: dict[str, MachineType] = {}
-        self.gone: set[MachineId] = set()  # returned or vanished: their ids never come again
+        self.removed_ids: set[MachineId] = set()  # returned or vanished: their ids never come again
         self.addrs: dict[MachineId, str] = {}
         self._of_share: dict[ShareNo, ShareMachines] = {}
         self._type_pages: dict[str, list[Any]] = {}
@@ -94,9 +94,9 @@
         if value is None or isinstance(value, GoneMachine):
             # A late copy of a report must not bring back what was returned.
             if value is None:
-                self.gone.discard(id)
+                self.removed_ids.discard(id)
             else:
-                self.gone.add(id)
+                self.removed_ids.add(id)
             self._record(id, before, None)
             self.addrs.pop(id, None)
             self._drop(id, "released")
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -63,7 +63,9 @@
     world.workers[report.machine].alive = False
     world.until(lambda: report.machine not in world.workers, 40)
     world.until(
-        lambda: all(n is not None and report.machine in n.fleet.gone for n in world.nodes.values()),
+        lambda: all(
+            n is not None and report.machine in n.fleet.removed_ids for n in world.nodes.values()
+        ),
         10,
     )
     for m in world.members:
