--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -273,7 +273,7 @@
             machines = self.fleet.of_share(holding.number)
             found = {
                 m.id: m
-                for m in machines.not_heard_since(now - limit)
+                for m in machines.no_message_since(now - limit)
                 if m.last_message_at >= 0 or m.record.stamp <= holding.epoch
             }
             found |= {m.id: m for m in machines.suspected() if self.fleet.unreached_s(m) > limit}
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -280,7 +280,7 @@
         return [
             machine.id
             for number in self.shares.owned
-            for machine in self.of_share(number).not_heard_since(self._overdue_since())
+            for machine in self.of_share(number).no_message_since(self._overdue_since())
         ]
 
     def all_machines_reachable(self, share: ShareNo) -> bool:
@@ -288,7 +288,7 @@
         machines = self.of_share(share)
         return not any(
             m.last_message_at >= 0
-            for found in (machines.suspected(), machines.not_heard_since(self._overdue_since()))
+            for found in (machines.suspected(), machines.no_message_since(self._overdue_since()))
             for m in found
         )
 
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -123,7 +123,7 @@
         found.sort(key=_position)
         return found
 
-    def not_heard_since(self, at: float) -> Iterable[Machine]:
+    def no_message_since(self, at: float) -> Iterable[Machine]:
         """Machines neither heard nor added after that instant."""
         for machine in self._by_heard.values():
             if max(machine.last_message_at, machine.added) >= at:
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -39,7 +39,7 @@
     for ago in (0.5, 2.0, 8.0):
         at = now - ago
         silent = ids(m for m in every if max(m.last_message_at, m.added) < at)
-        assert ids(machines.not_heard_since(at)) == silent
+        assert ids(machines.no_message_since(at)) == silent
         assert ids(machines.not_answered_since(at)) == ids(m for m in every if m.last_answer < at)
     for holding in node.shares.owned.values():
         if node.fleet.of_share(holding.number) is machines:
