--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -28,7 +28,7 @@
 Key = tuple[TaskId, Attempt]
 RUNNING_STAGES = ("running", "saving")
 STOPPING = 1_000  # counted below every rank
-ROOM_SLACK = 1e-9  # rounding left over by sums of sizes
+ROOM_TOLERANCE_CPUS = 1e-9  # rounding left over by sums of sizes
 
 
 class MachineIndex(Protocol):
@@ -133,7 +133,7 @@
 
 def room_level(cpus: float) -> int:
     """The level at which a machine with so many free CPUs is indexed, rounding left aside."""
-    return math.floor(cpus + ROOM_SLACK)
+    return math.floor(cpus + ROOM_TOLERANCE_CPUS)
 
 
 class Machine:
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -13,7 +13,7 @@
 
 from runcourse.config import Operators
 from runcourse.core.ids import MachineId, creation_order
-from runcourse.core.machine import ROOM_SLACK, Machine
+from runcourse.core.machine import ROOM_TOLERANCE_CPUS, Machine
 from runcourse.core.machine_groups import MachineGroups
 from runcourse.core.node import Node
 from runcourse.core.placement import Size
@@ -98,7 +98,7 @@
         plain = [
             m
             for m in scheduler.fleet.of_share(holding.number)
-            if m.room.cpus + ROOM_SLACK >= least.cpus
+            if m.room.cpus + ROOM_TOLERANCE_CPUS >= least.cpus
             and least.fits(m.room)
             and scheduler.fleet.usable(m)
         ]
