--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -1,4 +1,4 @@
-"""Whose fault is it when a task fails: a machine's, its job's own mistake, or chance?"""
+"""Attribution of task failures to a faulty machine, a faulty job, or chance."""
 
 from __future__ import annotations
 
@@ -10,18 +10,27 @@
 from .machines import Fleet
 from .work import Work
 
-FAILING_MACHINES = 3  # machines on which a job failed, and nothing of it went well: its own mistake
-FAILING_TRIES = 6  # or failures where there are fewer machines
-PROBE_FIRST_S = 2.0  # until one task of such a job is tried again; twice as long each time
-PROBE_MOST_S = 60.0
-FAULTY_AT = 2  # jobs without a mistake that failed on a machine: its fault
-FAULTY_S = 120.0  # within which, and for which it is set aside
+# A job without any success is at fault itself if it failed on FAILING_MACHINES, or on
+# FAILING_HEALTHY_MACHINES where tasks succeeded recently. After FAILING_ATTEMPTS failures,
+# FAILING_FEW_MACHINES or one such healthy machine suffice, because there may be no more machines.
+FAILING_MACHINES = 3
+FAILING_HEALTHY_MACHINES = 2
+FAILING_ATTEMPTS = 6
+FAILING_FEW_MACHINES = 2
+FIRST_RETRY_DELAY_S = 2.0  # before one task of a faulty job is tried again; doubles each time
+MAX_RETRY_DELAY_S = 60.0
+MAX_RETRY_DOUBLINGS = 8
+FAULTY_MACHINE_JOBS = 2  # a machine is faulty if so many jobs failed on it that are not faulty
+FAULT_PERIOD_S = 120.0  # in which these failures count, and for which the machine is quarantined
 FAILS_EVERYWHERE_REASON = "fails wherever it starts"
-PAUSE_S = 5.0  # a machine's after a first failure
+FIRST_FAILURE_PAUSE_S = 5.0  # without new tasks, for a machine on which a job first failed
+# A task runs past its job's failures after this factor of their longest run time and a margin.
+RUN_PAST_FACTOR = 1.5
+RUN_PAST_MARGIN_S = 1.0
 
 
 class Failures:
-    """Counts failures by machine and job, sets machines aside, and puts jobs off."""
+    """Counts failures by machine and job, quarantines machines and delays retries of jobs."""
 
     def __init__(self, context: Context, fleet: Fleet, changed: Callable[[], None]) -> None:
         self.context = context
@@ -29,8 +38,11 @@
         self._changed = changed
 
     def record_failure(self, work: Work, placement: Placement) -> None:
-        """A machine on which tasks of several jobs fail is set aside; a job that fails on
-        several machines, and does well on none, fails everywhere, which is no machine's fault."""
+        """Records the failure of an attempt, and quarantines its machine or delays its job.
+
+        A machine on which tasks of several jobs fail is quarantined. A job that fails on several
+        machines and succeeds on none fails everywhere, which is no machine's fault.
+        """
         now = self.context.now
         machine, uid = placement.machine, work.job.uid
         work.errors[machine.id] = work.errors.get(machine.id, 0) + 1
@@ -38,53 +50,67 @@
             work.max_time_to_failure_s, now - (placement.ran_since or placement.since)
         )
         if work.fails_everywhere:
-            # Tasks that were under way when it was found are no tries of their own.
+            # Tasks that already ran when the job was found faulty don't count as retries.
             if now >= work.not_before:
-                self._put_off(work)
+                self._delay_retry(work)
             return
-        again = now - machine.errors.get(uid, LONG_AGO) < FAULTY_S and self._does_well(work)
+        repeated = now - machine.errors.get(uid, LONG_AGO) < FAULT_PERIOD_S and self._has_success(
+            work
+        )
         machine.errors[uid] = now
         if self._fails_everywhere(work):
-            self._found_failing(work)
+            self._mark_failing(work)
             return
-        recent = [uid for uid, at in machine.errors.items() if now - at < FAULTY_S]
-        if len(recent) >= FAULTY_AT or again:
-            machine.quarantined_until = Instant(now + FAULTY_S)
+        recent = [
+            uid for uid, failed_at in machine.errors.items() if now - failed_at < FAULT_PERIOD_S
+        ]
+        if len(recent) >= FAULTY_MACHINE_JOBS or repeated:
+            machine.quarantined_until = Instant(now + FAULT_PERIOD_S)
             self.context.log(
                 "warning", f"machine {machine.id}: tasks of {len(recent)} jobs failed, set aside"
             )
-        elif len(work.errors) == 1:  # on a second machine it is rather the job's own mistake
-            machine.quarantined_until = max(machine.quarantined_until, Instant(now + PAUSE_S))
+        elif len(work.errors) == 1:  # on a second machine the job itself is more likely at fault
+            machine.quarantined_until = max(
+                machine.quarantined_until, Instant(now + FIRST_FAILURE_PAUSE_S)
+            )
 
     def _fails_everywhere(self, work: Work) -> bool:
-        """One task that fails by chance, or on one faulty machine, is no mistake of its job: it
-        fails on several, or also where others do well, and nothing of it goes well anywhere."""
-        if self._does_well(work):
+        """Returns whether the job itself is at fault.
+
+        A task that fails by chance or on one faulty machine doesn't prove that. Its tasks must
+        fail on several machines, or also where those of other jobs succeed, and none may succeed.
+        """
+        if self._has_success(work):
             return False
         if len(work.errors) >= FAILING_MACHINES:
             return True
         machines = self.fleet.machines
-        well = sum(
-            id in machines and self.context.now - machines[id].last_success_at < FAULTY_S
+        healthy = sum(
+            id in machines and self.context.now - machines[id].last_success_at < FAULT_PERIOD_S
             for id in work.errors
         )
-        return well >= 2 or (
-            sum(work.errors.values()) >= FAILING_TRIES and (len(work.errors) >= 2 or well >= 1)
+        return healthy >= FAILING_HEALTHY_MACHINES or (
+            sum(work.errors.values()) >= FAILING_ATTEMPTS
+            and (len(work.errors) >= FAILING_FEW_MACHINES or healthy >= 1)
         )
 
-    def _does_well(self, work: Work) -> bool:
+    def _has_success(self, work: Work) -> bool:
         return bool(work.job.done_count or work.unstored_done_bits) or self.runs_past_failures(work)
 
     def runs_past_failures(self, work: Work) -> bool:
-        """Has a task of the job run for longer than those that failed?"""
-        enough = 1.5 * work.max_time_to_failure_s + 1.0
+        """Returns whether a task of the job has run for longer than those that failed."""
+        min_run_s = RUN_PAST_FACTOR * work.max_time_to_failure_s + RUN_PAST_MARGIN_S
         return any(
-            p.stage == "running" and self.context.now - p.ran_since > enough
-            for p in self.fleet.placements.of_job(work.job.uid)
+            placement.stage == "running" and self.context.now - placement.ran_since > min_run_s
+            for placement in self.fleet.placements.of_job(work.job.uid)
         )
 
-    def _found_failing(self, work: Work) -> None:
-        """With many such jobs about, each machine has run some: none is set aside for them."""
+    def _mark_failing(self, work: Work) -> None:
+        """Marks the job as failing everywhere and withdraws its failures from its machines.
+
+        Where many such jobs are submitted, every machine has run some of them, and none may be
+        quarantined for that.
+        """
         now = self.context.now
         uid = work.job.uid
         work.fails_everywhere = True
@@ -92,25 +118,31 @@
             "warning",
             f"job {uid}: failed on {len(work.errors)} machines, tried again one task at a time",
         )
-        self._put_off(work)
+        self._delay_retry(work)
         for id in work.errors:
             machine = self.fleet.machines.get(id)
             if machine is not None and machine.errors.pop(uid, None) is not None:
-                recent = [at for at in machine.errors.values() if now - at < FAULTY_S]
-                if len(recent) < FAULTY_AT:
+                recent = [
+                    failed_at
+                    for failed_at in machine.errors.values()
+                    if now - failed_at < FAULT_PERIOD_S
+                ]
+                if len(recent) < FAULTY_MACHINE_JOBS:
                     machine.quarantined_until = now
-        # What has not begun yet would fetch its image for nothing.
+        # Tasks that have not started yet would fetch their image in vain.
         for placement in self.fleet.placements.of_job(uid):
             if placement.stage in ("sent", "fetching"):
                 self.fleet.placements.stop(placement)
 
-    def _put_off(self, work: Work) -> None:
-        pause = min(PROBE_MOST_S, PROBE_FIRST_S * 2 ** min(work.probe_count, 8))
-        work.not_before = Instant(self.context.now + pause)
+    def _delay_retry(self, work: Work) -> None:
+        delay_s = min(
+            MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2 ** min(work.probe_count, MAX_RETRY_DOUBLINGS)
+        )
+        work.not_before = Instant(self.context.now + delay_s)
         work.probe_count += 1
 
     def note_success(self, work: Work) -> None:
-        """Something of it goes well, so what failed was chance, or the machines' fault."""
+        """Clears the job's failures: since a task succeeds, chance or machines caused them."""
         if work.fails_everywhere:
             self.context.log("info", f"job {work.job.uid}: goes well after all")
             work.fails_everywhere = False
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -1,4 +1,4 @@
-"""One machine as its share's owner knows it, its record in the store, and what is placed on it."""
+"""A machine as its share's owner sees it: its stored record, its worker's state, its placements."""
 
 from __future__ import annotations
 
@@ -27,44 +27,44 @@
 
 Key = tuple[TaskId, Attempt]
 RUNNING_STAGES = ("running", "saving")
-STOPPING = 1_000  # counted below every rank
-ROOM_TOLERANCE_CPUS = 1e-9  # rounding left over by sums of sizes
+STOPPING_RANK = 1_000  # of tasks being stopped; lower in priority than every rank of jobs
+ROOM_TOLERANCE_CPUS = 1e-9  # rounding error of sums of sizes
 
 
 class MachineIndex(Protocol):
-    """Where the machines of a share are indexed: each tells it of what changes about it."""
+    """The index of a share's machines; each machine notifies it of its changes."""
 
-    def room_changed(self, machine: Machine, before: int) -> None:
-        """The machine has another level of room than `before`."""
+    def room_changed(self, machine: Machine, previous_level: int) -> None:
+        """Called when the machine's room level changed from `previous_level`."""
 
-    def allocated(self, cpus: float, lasting: float) -> None:
-        """More is allocated on a machine, or less; `service_cpus`: of services."""
+    def allocation_changed(self, cpus: float, service_cpus: float) -> None:
+        """Called with changes of the CPUs allocated to all tasks and to services."""
 
-    def last_message_at(self, machine: Machine) -> None:
-        """A message of the machine was believed now."""
+    def message_received(self, machine: Machine) -> None:
+        """Called when a message of the machine was accepted."""
 
-    def answered(self, machine: Machine) -> None:
-        """The lease of the machine's worker counts from now."""
+    def lease_renewed(self, machine: Machine) -> None:
+        """Called when the lease of the machine's worker counts from now."""
 
-    def suspect(self, machine: Machine) -> None:
-        """The machine counts as not reached from now on."""
+    def became_suspected(self, machine: Machine) -> None:
+        """Called when the machine counts as unreachable from now on."""
 
-    def unsettle(self, machine: Machine) -> None:
-        """The machine may hold tasks of an earlier owner."""
+    def became_unsettled(self, machine: Machine) -> None:
+        """Called when the machine may hold tasks of an earlier owner."""
 
-    def notice(self, machine: Machine) -> None:
-        """The cloud will take the machine away."""
+    def notice_received(self, machine: Machine) -> None:
+        """Called when the cloud announced that it will take the machine away."""
 
 
-class Known(NamedTuple):
-    """What was known of a worker when something was asked of it."""
+class KnownState(NamedTuple):
+    """The state of a worker as known when a probe or command was sent to it."""
 
-    number: tuple[int, int]  # session and sequence
+    number: tuple[int, int]  # session and sequence number
     token: Token
 
 
 class Record(NamedTuple):
-    """What the state service says of a machine."""
+    """The record of a machine in the state service."""
 
     share: ShareNo
     type: str
@@ -74,7 +74,7 @@
     stamp: Stamp
 
     def value(self, **changes: Any) -> MachineValue:
-        """The record as it is stored, with changes."""
+        """Returns the record as it is stored, with the changes applied."""
         record = self._replace(**changes)
         return MachineValue(record.share, record.type, record.zone, record.spot, record.leaving)
 
@@ -85,11 +85,8 @@
     __slots__ = (
         "attempt",
         "cause",
-        "commanded",
-        "do_token",
         "fence",
         "forced",
-        "given",
         "grace_s",
         "job",
         "machine",
@@ -99,6 +96,9 @@
         "size",
         "stage",
         "stage_before",
+        "start_commanded",
+        "start_report_seq",
+        "start_token",
         "stopping",
         "task",
     )
@@ -112,12 +112,13 @@
         self.job = job
         self.size = job.size if job else ZERO_SIZE
         self.stage = "sent"  # sent, fetching, waiting (for its gang), running, saving, ended
-        self.stage_before = ""  # once ended: the one before
+        self.stage_before = ""  # of an ended attempt: its stage before it ended
         self.cause = ""
-        self.seen = False  # some message listed it
-        self.commanded = False  # a command with the order to start it may have left
-        self.do_token = Token(0)  # of the newest command with that order
-        self.given = -1  # number of the answered report whose answer told the worker to start it
+        self.seen = False  # a message of the worker listed it
+        self.start_commanded = False  # a command with its start order may have been sent
+        self.start_token = Token(0)  # of the newest command with its start order
+        # Sequence number of the report whose answer carried its start order; -1: none.
+        self.start_report_seq = -1
         self.stopping = False
         self.grace_s = 0.0
         self.forced = False
@@ -127,53 +128,53 @@
 
     @property
     def active(self) -> bool:
-        """Does it hold room?"""
+        """Returns whether the attempt occupies room on its machine."""
         return self.stage != "ended"
 
 
 def room_level(cpus: float) -> int:
-    """The level at which a machine with so many free CPUs is indexed, rounding left aside."""
+    """Returns the index level of a machine with so many free CPUs, tolerating rounding errors."""
     return math.floor(cpus + ROOM_TOLERANCE_CPUS)
 
 
 class Machine:
-    """One machine owned here, and what is known of its worker."""
+    """A machine of a share that this node owns, and the known state of its worker."""
 
     __slots__ = (
         "added",
         "addr",
-        "asked_at",
-        "born",
-        "counter",
-        "last_success_at",
-        "next_command_at",
         "command_in_flight",
+        "counter",
+        "cpus_by_rank",
         "draining_until",
         "empty_since",
         "errors",
         "expired_session",
         "fetches",
         "full_until",
-        "last_message_at",
         "id",
         "images",
         "index",
         "last_answer",
-        "service_cpus",
+        "last_message_at",
+        "last_reached_at",
+        "last_success_at",
+        "min_report_token",
         "moving",
+        "next_command_at",
         "notice_until",
         "placements",
         "position",
-        "probing",
+        "probe_in_flight",
+        "probed_at",
         "quarantined_until",
-        "ranks",
-        "reached",
         "record",
         "report_number",
         "reservations",
         "room",
         "room_level",
         "seq",
+        "service_cpus",
         "session",
         "settled",
         "share",
@@ -188,22 +189,24 @@
     def __init__(self, id: MachineId, record: Record, holding: Holding, now: Instant) -> None:
         self.id = id
         self.index: MachineIndex | None = None  # of its share
-        self.position = 0  # in the order in which machines came to the share
+        self.position = 0  # in the order in which machines were added to the share
         self.record = record
         self.share = holding
         self.type: MachineType | None = None
         self.addr = ""
         self.session = Session(0)
         self.seq = -1
-        self.report_number = (Session(0), -1)  # of the newest report, live answers left out
-        self.born = Token(0)  # reports with a lesser token are of a former life
-        self.asked_at = LONG_AGO  # when its state was last asked for
-        self.probing = False
-        self.reached = LONG_AGO  # when a live answer last came
+        # Session and sequence number of the newest report; answers to commands and probes
+        # don't count.
+        self.report_number = (Session(0), -1)
+        self.min_report_token = Token(0)  # a lower token is from before the worker's restart
+        self.probed_at = LONG_AGO
+        self.probe_in_flight = False
+        self.last_reached_at = LONG_AGO  # when the worker last proved to be reachable
         self.token_seen = Token(0)
         self.counter = 0
         # A machine recorded after the takeover can't hold tasks of an earlier owner: it was
-        # new, or moved while empty.
+        # new then, or was transferred while empty.
         self.settled = record.stamp > holding.epoch
         self.expired_session = Session(0)
         self.last_answer = now if self.settled else holding.since
@@ -212,141 +215,151 @@
         self.notice_until: Instant | None = None
         self.placements: dict[Key, Placement] = {}
         self.used = ZERO_SIZE
-        self.reservations: dict[TaskId, Size] = {}  # room kept for tasks that are being moved
+        self.reservations: dict[TaskId, Size] = {}  # room for tasks that are being moved here
         self.room = ZERO_SIZE
         self.room_level = 0
-        self.ranks: dict[int, float] = {}  # CPUs of what is on it, by rank
-        self.fetches: dict[str, float] | None = None  # images under way; None: to be counted
+        self.cpus_by_rank: dict[int, float] = {}  # of its placements
+        # Images being fetched; None: must be computed from the placements.
+        self.fetches: dict[str, float] | None = None
         self.images: OrderedDict[str, float] = OrderedDict()
         self.command_in_flight = False
         self.next_command_at = now
-        # Reachable is more than heard: only a token of ours shown by the worker proves that
-        # answers or commands arrive there. Until it shows this one, nothing new goes there,
-        # and an order of unknown fate may yet be carried out.
+        # A report doesn't prove that the worker is reachable: only a token of this node that the
+        # worker reports proves that answers or commands arrive there. Until it reports this one,
+        # no new task is placed there, and an order of unknown outcome may still be executed.
         self.suspect_token = self.base_token
         self.suspected_at = now
         self.full_until = now
         self.quarantined_until = now
-        self.errors: dict[JobId, Instant] = {}  # whose tasks failed here since one did well
+        # Last failure here of each job, since a task last succeeded here.
+        self.errors: dict[JobId, Instant] = {}
         self.last_success_at = LONG_AGO  # when a task last completed here
         self.empty_since: Instant | None = now
         self.added = now
-        self.draining_until = now  # its replicas move away, nothing new comes
-        self.service_cpus = 0.0  # CPUs of services placed on it
-        self.moving = False  # a change of its record is under way: nothing new goes there
+        self.draining_until = now  # until then its replicas move away and it gets no new tasks
+        self.service_cpus = 0.0  # of services placed on it
+        self.moving = False  # a change of its record is in flight: it gets no new tasks
 
     def unsettle(self) -> None:
-        """Tasks of an earlier owner may be hidden there. The reverse is told by `settled` alone."""
+        """Records that the machine may hold unreported tasks of an earlier owner.
+
+        The index is not notified of the opposite change: it reads `settled`.
+        """
         self.settled = False
         if self.index is not None:
-            self.index.unsettle(self)
+            self.index.became_unsettled(self)
 
-    def note_heard(self, now: Instant) -> None:
-        """A message of it is believed now."""
+    def note_message(self, now: Instant) -> None:
+        """Records that a message of the worker was accepted now."""
         self.last_message_at = now
         if self.index is not None:
-            self.index.last_message_at(self)
+            self.index.message_received(self)
 
     def note_answer(self, now: Instant) -> None:
-        """Its worker's lease counts from now at the latest."""
+        """Records that the worker's lease counts from now at the latest."""
         self.last_answer = max(self.last_answer, now)
         if self.index is not None:
-            self.index.answered(self)
+            self.index.lease_renewed(self)
 
     def note_notice(self, until: Instant) -> None:
-        """The cloud will take it away then."""
+        """Records that the cloud will take the machine away at `until`."""
         self.notice_until = until
         if self.index is not None:
-            self.index.notice(self)
+            self.index.notice_received(self)
 
     @property
     def token(self) -> Token:
-        """The fencing token of the next command."""
+        """Returns the fencing token of the next command."""
         return make_token(Stamp(max(self.share.epoch, self.record.stamp)), self.counter)
 
     @property
     def base_token(self) -> Token:
-        """No earlier owner's token reaches it."""
+        """Returns this owner's lowest token, which is above every token of earlier owners."""
         return make_token(Stamp(max(self.share.epoch, self.record.stamp)), 0)
 
     def set_type(self, type_: MachineType | None) -> None:
-        """Its type became known, or changed."""
+        """Sets the machine's type when it becomes known or changes."""
         self.type = type_
         self.set_used(self.used)
 
     def set_used(self, used: Size) -> None:
-        """Set what is allocated on it."""
+        """Sets the size allocated on the machine and updates its room."""
         if self.index is not None:
-            self.index.allocated(used.cpus - self.used.cpus, 0.0)
+            self.index.allocation_changed(used.cpus - self.used.cpus, 0.0)
         self.used = used
         self.room = self.type.size.minus(used) if self.type else ZERO_SIZE
         for size in self.reservations.values():
             self.room = self.room.minus(size)
-        before, self.room_level = self.room_level, room_level(self.room.cpus)
-        if self.index is not None and self.room_level != before:
-            self.index.room_changed(self, before)
+        previous_level, self.room_level = self.room_level, room_level(self.room.cpus)
+        if self.index is not None and self.room_level != previous_level:
+            self.index.room_changed(self, previous_level)
 
     def add_service_cpus(self, cpus: float) -> None:
-        """A service takes so many CPUs more, or fewer."""
+        """Adds CPUs allocated to services; may be negative."""
         self.service_cpus += cpus
         if self.index is not None:
-            self.index.allocated(0.0, cpus)
+            self.index.allocation_changed(0.0, cpus)
 
     def clear_usage(self) -> None:
-        """Nothing is placed on it any more: no rounding is left over."""
+        """Resets all sums of a machine without placements, to discard rounding errors."""
         self.set_used(ZERO_SIZE)
-        self.ranks.clear()
+        self.cpus_by_rank.clear()
         self.add_service_cpus(-self.service_cpus)
 
     def reserve(self, task: TaskId, size: Size) -> None:
-        """Keep room for a task that is being moved here."""
+        """Reserves room for a task that is being moved here."""
         self.reservations[task] = size
         self.set_used(self.used)
 
     def unreserve(self, task: TaskId) -> None:
-        """Let the room go that was kept for the task."""
+        """Releases the room reserved for the task."""
         self.reservations.pop(task, None)
         self.set_used(self.used)
 
     def raise_fence(self) -> Token:
-        """Raise the token and return it: earlier commands can't be carried out any more."""
+        """Raises the token and returns it; earlier commands can't be executed any more."""
         self.counter += 1
         return self.token
 
     @property
-    def known_state(self) -> Known:
-        """What is known of the worker now."""
-        return Known((self.session, self.seq), self.token_seen)
+    def known_state(self) -> KnownState:
+        """Returns the known state of the worker."""
+        return KnownState((self.session, self.seq), self.token_seen)
 
     @property
     def suspected(self) -> bool:
-        """Not shown to be reachable since something spoke against it."""
+        """Returns whether the worker has not proved reachable since that was last in doubt."""
         return self.token_seen < self.suspect_token
 
     def mark_suspected(self, now: Instant) -> None:
-        """Until the worker shows a token raised now, it counts as not reached."""
+        """Raises the token; the worker counts as unreachable until it reports the new one."""
         if not self.suspected:
             self.suspected_at = now
         self.suspect_token = self.raise_fence()
         if self.index is not None:
-            self.index.suspect(self)
+            self.index.became_suspected(self)
 
     def count_rank(self, placement: Placement, sign: int) -> None:
-        """Count the placement's CPUs by rank; `sign`: 1 to add, -1 to take away."""
+        """Counts the placement's CPUs by rank; `sign` is 1 to add and -1 to subtract."""
         if placement.job is not None:
-            rank = STOPPING if placement.stopping else placement.job.spec.rank
-            self.ranks[rank] = self.ranks.get(rank, 0.0) + sign * placement.size.cpus
+            rank = STOPPING_RANK if placement.stopping else placement.job.spec.rank
+            self.cpus_by_rank[rank] = self.cpus_by_rank.get(rank, 0.0) + sign * placement.size.cpus
 
     def cpus_with_preemption(self, rank: int) -> float:
-        """CPUs free, or held by what ranks lower than that or is being stopped."""
-        return self.room.cpus + sum(cpus for r, cpus in self.ranks.items() if r > rank)
+        """Returns the CPUs that are free, being freed, or held by tasks of lower priority."""
+        return self.room.cpus + sum(
+            cpus for other, cpus in self.cpus_by_rank.items() if other > rank
+        )
 
     def holds(self, task: TaskId) -> bool:
-        """Does the machine list any attempt of the task?"""
-        return any(t == task for t, _ in self.placements)
+        """Returns whether any attempt of the task is placed on the machine."""
+        return any(placed == task for placed, _ in self.placements)
 
     def remember_image(self, job: Job) -> None:
-        """The machine holds the image of the job; the least recently used ones may have gone."""
+        """Records that the machine caches the job's image.
+
+        Images beyond the size of the cache are dropped, least recently used first.
+        """
         images = self.images
         self.fetches = None
         images[job.spec.image] = job.spec.image_gb
@@ -357,9 +370,9 @@
 
     @property
     def busy(self) -> bool:
-        """Something is on it, or may be, or may yet come to be."""
-        # One that was never heard holds nothing: it must be possible to return what never came
-        # up, or it is paid for ever.
+        """Returns whether tasks are, may be, or may still be started on the machine."""
+        # A machine that never reported holds nothing. It must be possible to return a machine
+        # that never came up, or it is paid for indefinitely.
         return (
             bool(self.placements)
             or bool(self.reservations)
--- a/runcourse/core/machine_groups.py
+++ b/runcourse/core/machine_groups.py
@@ -1,4 +1,4 @@
-"""How many recorded machines there are of each kind, kept as the records change."""
+"""Counts of recorded machines by kind, updated as the records change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MachineGroup(NamedTuple):
-    """What machines have in common that the leader's plan takes together."""
+    """The properties shared by machines that the leader's planning treats alike."""
 
     share: ShareNo
     type: str
@@ -22,7 +22,7 @@
 
 
 class MachineGroups:
-    """Counts of machines by group. There are few groups, however many machines."""
+    """Counts of machines by group; the number of groups stays small in a large fleet."""
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
         self._counts: Counter[MachineGroup] = Counter()
@@ -30,29 +30,29 @@
             self.add(record)
 
     def add(self, record: Record) -> None:
-        """A machine is recorded so from now on."""
+        """Counts a record that was added."""
         self._counts[_group(record)] += 1
 
     def remove(self, record: Record) -> None:
-        """A machine is recorded so no longer."""
+        """Uncounts a record that was removed."""
         group = _group(record)
         self._counts[group] -= 1
         if not self._counts[group]:
             del self._counts[group]
 
     def counts(self) -> Mapping[MachineGroup, int]:
-        """The number of machines in each group that has any."""
+        """Returns the number of machines of each non-empty group."""
         return self._counts
 
     def by_zone(self) -> Counter[tuple[ShareNo, str, bool]]:
-        """Machines of each share by zone and kind, those that leave included."""
+        """Returns the machines of each share by zone and spot or not, leaving ones included."""
         found: Counter[tuple[ShareNo, str, bool]] = Counter()
         for group, number in self._counts.items():
             found[group.share, group.zone, group.spot] += number
         return found
 
     def cpus_by_share(self, types: Mapping[str, MachineType]) -> dict[ShareNo, float]:
-        """CPUs of the machines that stay, for the shares that have any."""
+        """Returns the CPUs of each share's machines without leaving ones; empty shares omitted."""
         found: dict[ShareNo, float] = {}
         for group, number in self._counts.items():
             if not group.leaving and group.type in types:
@@ -61,7 +61,7 @@
         return found
 
     def by_type(self) -> Counter[tuple[ShareNo, str]]:
-        """Machines that stay, by share and type."""
+        """Returns the number of machines that are not leaving, by share and type."""
         found: Counter[tuple[ShareNo, str]] = Counter()
         for group, number in self._counts.items():
             if not group.leaving:
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -1,4 +1,4 @@
-"""The machines of the shares owned here: their records, and which of them may be used."""
+"""The fleet: all machine records, and the state of the machines whose shares this node owns."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     Stamp,
 )
 from .jobs import Jobs
-from .machine import Known, Machine, Record
+from .machine import KnownState, Machine, Record
 from .machine_groups import MachineGroups
 from .placements import PlacementObserver, PlacementTable
-from .reports import REPORT_TIMEOUT_S, ReportIntake
+from .reports import LATE_REPORT_INTERVALS, REPORT_TIMEOUT_S, ReportIntake
 from .share_machines import ShareMachines
 from .shares import Holding, Shares
 from .store import Store
@@ -28,19 +28,35 @@
 from .types import MachineType, Report
 from .worker_commands import WorkerCommands
 
-LOOK_EVERY_S = 0.2
-MAX_LISTED_TASKS = 400  # tasks, ended ones too: a report must stay far below the protocol's 64 KiB
+LEASE_CHECK_INTERVAL_S = 0.2
+# Tasks per machine, ended ones included: a report must stay far below the protocol's 64 KiB.
+MAX_LISTED_TASKS = 400
+TRANSFERRED_STATE_MAX_AGE_S = 5.0
 
+# A machine may be silent or unreached for the longest of: these report intervals; this fraction of
+# its worker's lease; the time that a worker cut off from this node needs to be received by way of
+# a peer (a lost report, RELAY_DELAY_S to try another node, a further report), up to a larger
+# fraction of the lease.
+SILENCE_REPORT_INTERVALS = 2.5
+SILENCE_LEASE_FRACTION = 0.45
+RELAY_DELAY_S = 1.75
+RELAY_REPORT_INTERVALS = 1.25
+RELAY_LEASE_FRACTION = 0.7
 
-RecordWatcher = Callable[[MachineId, Record | None, Record | None], None]  # before and after
+# Beyond LATE_REPORT_INTERVALS without a message:
+OVERDUE_MARGIN_S = 1.5  # after which a machine's report counts as overdue
+USABLE_MARGIN_S = 1.0  # after which a machine gets no new tasks
 
+# Called with a machine's id and its record before and after a change.
+RecordWatcher = Callable[[MachineId, Record | None, Record | None], None]
 
-def _watch_nothing(id: MachineId, before: Record | None, record: Record | None) -> None:
-    """For who does not plan for the fleet."""
+
+def _ignore_record(id: MachineId, before: Record | None, record: Record | None) -> None:
+    """Ignores a change of a record; the default of `Fleet.watch_record`."""
 
 
 class Fleet:
-    """The machines owned here, with what is placed on them and what their workers are told."""
+    """The machine records, and the machines of owned shares with their placements and commands."""
 
     def __init__(
         self,
@@ -56,19 +72,19 @@
         self.jobs = jobs
         self.observer = observer
         self.records: dict[MachineId, Record] = {}
-        self.groups = MachineGroups()  # of all that is recorded
+        self.groups = MachineGroups()  # of all records
         self.leaving: dict[MachineId, None] = {}  # recorded as about to be returned
-        self.watch_record: RecordWatcher = _watch_nothing  # set by who plans for the fleet
+        self.watch_record: RecordWatcher = _ignore_record  # set by the leader's fleet planning
         self.machines: dict[MachineId, Machine] = {}
         self.types: dict[str, MachineType] = {}
-        self.removed_ids: set[MachineId] = set()  # returned or vanished: their ids never come again
+        self.removed_ids: set[MachineId] = set()  # returned or vanished; ids are never reused
         self.addrs: dict[MachineId, str] = {}
-        self._of_share: dict[ShareNo, ShareMachines] = {}
+        self._machines_by_share: dict[ShareNo, ShareMachines] = {}
         self._type_pages: dict[str, list[Any]] = {}
         self._leases_checked_at = LONG_AGO
-        self._given: dict[MachineId, tuple[Instant, TransferredState]] = {}
-        self.commands = WorkerCommands(context, shares, jobs, self.machines, self._apply)
-        self.placements = PlacementTable(context, observer, self.commands.wake)
+        self._transferred_states: dict[MachineId, tuple[Instant, TransferredState]] = {}
+        self.commands = WorkerCommands(context, shares, jobs, self.machines, self._apply_report)
+        self.placements = PlacementTable(context, observer, self.commands.enqueue)
         self.commands.connect(self.placements)
         self.reports = ReportIntake(
             context, jobs, self.machines, self.commands, self.placements, observer, self.usable
@@ -92,12 +108,12 @@
         id = MachineId(key[len(MACHINE) :])
         before = self.records.get(id)
         if value is None or isinstance(value, GoneMachine):
-            # A late copy of a report must not bring back what was returned.
+            # A delayed copy of a report must not bring a returned machine back.
             if value is None:
                 self.removed_ids.discard(id)
             else:
                 self.removed_ids.add(id)
-            self._record(id, before, None)
+            self._update_record(id, before, None)
             self.addrs.pop(id, None)
             self._drop(id, "released")
             return
@@ -109,7 +125,7 @@
             value.leaving,
             stamp,
         )
-        self._record(id, before, record)
+        self._update_record(id, before, record)
         machine = self.machines.get(id)
         holding = self.shares.owned.get(record.share)
         if machine is not None and holding is machine.share:
@@ -120,8 +136,8 @@
         if machine is None and holding is not None:
             self._add(id, record, holding)
 
-    def _record(self, id: MachineId, before: Record | None, record: Record | None) -> None:
-        """Keep the record, and all that is counted over records."""
+    def _update_record(self, id: MachineId, before: Record | None, record: Record | None) -> None:
+        """Replaces the machine's record and updates the counts of records."""
         if before is not None:
             self.groups.remove(before)
             self.leaving.pop(id, None)
@@ -141,13 +157,13 @@
         self.of_share(record.share).add(machine)
         self._take_over_state(machine)
 
-    def _apply(self, report: Report, since: Known) -> bool:
-        return self.reports.apply(report, since)
+    def _apply_report(self, report: Report, known: KnownState) -> bool:
+        return self.reports.apply(report, known)
 
-    # --- machines that change owners -----------------------------------------------------
+    # --- transfers between owners --------------------------------------------------------
 
     def state_of(self, machine: Machine) -> TransferredState:
-        """What the next owner needs to command the machine before its next report."""
+        """Returns the state that the next owner needs to command the machine at once."""
         return TransferredState(
             machine.id,
             machine.addr,
@@ -158,29 +174,30 @@
         )
 
     def accept_transferred_state(self, state: TransferredState) -> None:
-        """A former owner passes a machine's state on, perhaps before its record is seen."""
-        self._given[state.machine] = (self.context.now, state)
+        """Takes a machine's state from its former owner, perhaps before its record arrives."""
+        self._transferred_states[state.machine] = (self.context.now, state)
         machine = self.machines.get(state.machine)
         if machine is not None:
             self._take_over_state(machine)
 
     def _take_over_state(self, machine: Machine) -> None:
-        at, state = self._given.get(machine.id, (LONG_AGO, None))
-        if state is None or self.context.now - at > 5.0:
+        received_at, state = self._transferred_states.get(machine.id, (LONG_AGO, None))
+        if state is None or self.context.now - received_at > TRANSFERRED_STATE_MAX_AGE_S:
             return
-        del self._given[machine.id]
+        del self._transferred_states[machine.id]
         machine.fetches = None
         for image, size in state.images:
             machine.images[image] = size
-        # Only a machine that came empty from its owner, and nothing newer heard of it.
+        # The rest applies only to a machine that its owner transferred empty, and only as long
+        # as no newer message of its worker was received here.
         if machine.settled and not machine.session:
             machine.addr = state.addr
             machine.session = state.session
             machine.seq = state.seq
             machine.token_seen = state.token
             machine.up_since = self.context.now
-            machine.note_heard(self.context.now)
-            self.commands.wake(machine.id)  # an empty command shows that it can be reached
+            machine.note_message(self.context.now)
+            self.commands.enqueue(machine.id)  # an empty command proves that it is reachable
             self.observer.capacity_changed()
 
     def _drop(self, id: MachineId, why: str) -> None:
@@ -191,38 +208,38 @@
                 self.placements.remove(placement, why)
             self.observer.capacity_changed()
 
-    def gain(self, holding: Holding) -> None:
-        """The share is owned here from now on."""
+    def add_share(self, holding: Holding) -> None:
+        """Adds the machines of a share that this node now owns."""
         for id, record in self.records.items():
             if record.share == holding.number:
                 self._add(id, record, holding)
 
-    def lose(self, share: ShareNo) -> None:
-        """The share is not owned here any more."""
+    def remove_share(self, share: ShareNo) -> None:
+        """Removes the machines of a share that this node no longer owns."""
         for machine in list(self.of_share(share)):
             self._drop(machine.id, "share lost")
 
     def of_share(self, share: ShareNo) -> ShareMachines:
-        """The machines of a share owned here."""
-        machines = self._of_share.get(share)
+        """Returns the machines of a share; none if this node doesn't own it."""
+        machines = self._machines_by_share.get(share)
         if machines is None:
-            machines = self._of_share[share] = ShareMachines()
+            machines = self._machines_by_share[share] = ShareMachines()
         return machines
 
-    # --- time ----------------------------------------------------------------------------
+    # --- periodic checks -----------------------------------------------------------------
 
     def tick(self) -> None:
-        """Note leases that have run out, and shares whose tasks are all located."""
+        """Handles expired leases, and marks shares as settled once all their tasks are located."""
         now = self.context.now
-        self.commands.wake_rested()
-        if now >= self._leases_checked_at + LOOK_EVERY_S:
+        self.commands.enqueue_due()
+        if now >= self._leases_checked_at + LEASE_CHECK_INTERVAL_S:
             self._leases_checked_at = now
-            oldest = now - self.context.lease_s
+            lease_start = now - self.context.lease_s
             for number in list(self.shares.owned):
-                # Without authority nothing is sure: another may have answered it meanwhile, as
-                # when this process stood still.
+                # Without authority an expiry is not certain: another owner may have answered the
+                # worker meanwhile, for example while this process was paused.
                 if self.shares.may_command(number):
-                    for machine in self.of_share(number).not_answered_since(oldest):
+                    for machine in self.of_share(number).not_answered_since(lease_start):
                         if machine.placements or not machine.settled:
                             self._expire(machine)
         for holding in self.shares.owned.values():
@@ -234,49 +251,58 @@
                 self.observer.capacity_changed()
 
     def _expire(self, machine: Machine) -> None:
-        """Nobody answered the worker for longer than its lease: it has killed everything."""
+        """Removes the placements of a machine whose lease expired: its worker killed all tasks."""
         self.context.log("info", f"machine {machine.id}: silent, lease over")
         machine.expired_session = machine.session
         for placement in list(machine.placements.values()):
             self.placements.remove(placement, "lease")
         machine.settled = True
-        machine.suspected_at = (
-            self.context.now
-        )  # answered again for a while, as nothing is at stake
+        # With no tasks left there, its reports may be answered again for a while.
+        machine.suspected_at = self.context.now
         self.observer.capacity_changed()
 
     # --- liveness ------------------------------------------------------------------------
 
-    def answered(self, machine: Machine) -> None:
-        """A report of the machine is being answered: its lease counts from now."""
+    def note_answer(self, machine: Machine) -> None:
+        """Restarts the lease of a machine whose report is being answered."""
         machine.note_answer(self.context.now)
 
     def silence_limit_s(self) -> float:
-        """How long a machine may be silent, or heard without being reached: a worker cut off
-        from here needs a lost report and a try elsewhere to be heard by way of a peer."""
+        """Returns the seconds that a machine may be silent, or report without being reachable.
+
+        If its lease allows, they suffice for a worker cut off from this node to report by way of
+        a peer.
+        """
         workers = self.context.platform.settings.workers
         return max(
-            2.5 * workers.report_s,
-            0.45 * workers.lease_s,
-            min(REPORT_TIMEOUT_S + 1.75 + 1.25 * workers.report_s, 0.7 * workers.lease_s),
+            SILENCE_REPORT_INTERVALS * workers.report_s,
+            SILENCE_LEASE_FRACTION * workers.lease_s,
+            min(
+                REPORT_TIMEOUT_S + RELAY_DELAY_S + RELAY_REPORT_INTERVALS * workers.report_s,
+                RELAY_LEASE_FRACTION * workers.lease_s,
+            ),
         )
 
     def unreached_s(self, machine: Machine) -> float:
-        """For how long has it been heard without showing that it is reached?"""
+        """Returns for how many seconds the worker has reported without proving reachable."""
         if not machine.suspected or machine.last_message_at < 0:
             return 0.0
         return self.context.now - max(machine.suspected_at, machine.share.since)
 
     def silent_s(self, machine: Machine) -> float:
-        """Seconds since the machine was heard."""
+        """Returns the seconds since the machine's last message."""
         return self.context.now - machine.last_message_at
 
     def _overdue_since(self) -> float:
-        """Machines that were not heard since then have missed a report."""
-        return self.context.now - 1.25 * self.context.platform.settings.workers.report_s - 1.5
+        """Returns the instant; machines without a message since then have missed a report."""
+        return (
+            self.context.now
+            - LATE_REPORT_INTERVALS * self.context.platform.settings.workers.report_s
+            - OVERDUE_MARGIN_S
+        )
 
-    def silent(self) -> list[str]:
-        """Machines of the shares owned here whose reports are overdue."""
+    def silent_machines(self) -> list[str]:
+        """Returns the machines of owned shares whose reports are overdue."""
         return [
             machine.id
             for number in self.shares.owned
@@ -284,16 +310,16 @@
         ]
 
     def all_machines_reachable(self, share: ShareNo) -> bool:
-        """Are all machines of the share that ever came up heard, and reached?"""
+        """Returns whether all machines of the share that ever came up report and are reachable."""
         machines = self.of_share(share)
         return not any(
-            m.last_message_at >= 0
+            machine.last_message_at >= 0
             for found in (machines.suspected(), machines.no_message_since(self._overdue_since()))
-            for m in found
+            for machine in found
         )
 
     def usable(self, machine: Machine) -> bool:
-        """May new tasks go there?"""
+        """Returns whether new tasks may be placed on the machine."""
         report_s = self.context.platform.settings.workers.report_s
         return (
             machine.type is not None
@@ -303,16 +329,16 @@
             and not machine.record.leaving
             and not machine.moving
             and machine.notice_until is None
-            # Where finishes can't be stored for long, what ended gathers in the reports.
+            # While finishes can't be stored, ended tasks accumulate in the machine's reports.
             and len(machine.placements) < MAX_LISTED_TASKS
-            and self.silent_s(machine) < 1.25 * report_s + 1.0
+            and self.silent_s(machine) < LATE_REPORT_INTERVALS * report_s + USABLE_MARGIN_S
             and self.context.now >= machine.quarantined_until
             and self.context.now >= machine.draining_until
             and self.context.now >= machine.full_until
         )
 
     def learn_addr(self, id: MachineId, addr: str) -> None:
-        """Where the machine's worker listens."""
+        """Records the address at which the machine's worker listens."""
         if addr and self.addrs.get(id) != addr:
             self.addrs[id] = addr
             machine = self.machines.get(id)
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -1,6 +1,6 @@
-"""One controller: the state machine that all inputs go through.
+"""The state machine of one controller, which handles all inputs.
 
-`handle(now, input)` returns the effects to carry out. No clock, no input or output.
+`handle(now, input)` returns the effects to execute. The core reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -55,14 +55,18 @@
 from .users import Users
 from .versions import Versions
 
-GOSSIP_EVERY_S = 1.0
-REDIRECT_MEMORY_S = 15.0
+HEARTBEAT_INTERVAL_S = 1.0  # between heartbeats to all peers
+REACHABLE_INTERVALS = 2.5  # heartbeat intervals for which a silent peer counts as reachable
+PEER_CONTACT_MAX_AGE_S = 3.0  # of heartbeats whose contact counts for this node's health
+CONTACT_MAX_AGE_S = 1.5  # since the last contact with the state service
+REDIRECT_MEMORY_S = 15.0  # a worker redirected that recently is relayed when it comes back
 RELAY_TIMEOUT_S = 3.0
-RELAY_RETEST_S = 40.0
+RELAY_RETEST_S = 40.0  # after which a relayed worker is redirected again
+RELAY_NUMBER_BITS = 48
 
 
 class Node:
-    """The state machine of one controller, made of the modules of the core."""
+    """The state machine of one controller, composed of the core's modules."""
 
     def __init__(
         self,
@@ -126,23 +130,26 @@
         self.store.listen(PART, self._part_changed)
         self.store.listen(LEADER, lambda key, value, stamp: None)
         self._peer_contact: dict[Member, tuple[Instant, bool]] = {}
-        self._gossip_at = LONG_AGO
-        self._silent: dict[Member, set[str]] = {}  # machines that an owner does not hear
-        self._redirected: dict[MachineId, Instant] = {}
-        self._relaying: dict[MachineId, Instant] = {}
+        self._heartbeat_sent_at = LONG_AGO
+        # Machines whose reports are overdue at their owner, by owner.
+        self._silent_machines: dict[Member, set[str]] = {}
+        self._redirected_at: dict[MachineId, Instant] = {}  # or last relayed
+        self._relaying_since: dict[MachineId, Instant] = {}
+        # Request and deadline of each relayed report without a response, by its number.
         self._relays: dict[int, tuple[int, Instant]] = {}
-        # Never the numbers of an earlier process: its answers may still be under way.
-        self._relay_no = rng.getrandbits(48)
+        # Starts at random so that numbers of an earlier process don't recur: responses to its
+        # relayed reports may still arrive.
+        self._relay_number = rng.getrandbits(RELAY_NUMBER_BITS)
 
-    # --- entry ---------------------------------------------------------------------------
+    # --- inputs --------------------------------------------------------------------------
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Take an input; returns the effects to carry out."""
+        """Handles an input; returns the effects to execute."""
         context = self.context
         context.now = Instant(max(now, context.now))
         self._dispatch(event)
         if not self.authority.live:
-            self.authority.tick()  # a restart is short of time: workers' leases run
+            self.authority.tick()  # at once after a restart, because workers' leases are expiring
         self.scheduler.finishes.flush()
         self.scheduler.run_turns()
         self.fleet.commands.push()
@@ -154,7 +161,7 @@
             case Outcome():
                 event.tag(event)
             case ReportReceived():
-                self._beat(event)
+                self._handle_report(event)
             case Poll():
                 self.users.poll(event)
             case Submit():
@@ -168,7 +175,7 @@
                     self.context.log("warning", line)
                 self.scheduler.capacity_changed()
             case PeerMessageReceived():
-                self._peer_said(event.member, event.message)
+                self._handle_peer_message(event.member, event.message)
             case Health():
                 self._health(event)
             case DivisionRequest():
@@ -190,22 +197,26 @@
             )
         self.confirmations.tick()
         now = self.context.now
-        if now >= self._gossip_at + GOSSIP_EVERY_S:
-            self._gossip_at = now
+        if now >= self._heartbeat_sent_at + HEARTBEAT_INTERVAL_S:
+            self._heartbeat_sent_at = now
             begins, running = self.fleet.placements.running_pages.next()
             heartbeat = Heartbeat(
-                self._contact(), running, self.fleet.silent(), self.store.applied, begins
+                self._has_contact(),
+                running,
+                self.fleet.silent_machines(),
+                self.store.applied,
+                begins,
             )
             self.context.emit(SendToPeer(None, heartbeat))
-            for seen in (self._redirected, self._relaying):
-                for id in [id for id in seen if id not in self.fleet.records]:
-                    del seen[id]
-        for number, (request, until) in list(self._relays.items()):
-            if now > until:
+            for times in (self._redirected_at, self._relaying_since):
+                for id in [id for id in times if id not in self.fleet.records]:
+                    del times[id]
+        for number, (request, deadline) in list(self._relays.items()):
+            if now > deadline:
                 del self._relays[number]
                 self.context.emit(ReportAnswer(request, 503))
 
-    # --- owning --------------------------------------------------------------------------
+    # --- ownership -----------------------------------------------------------------------
 
     def _on_live(self) -> None:
         self.context.log("info", f"live as {self.authority.incarnation}")
@@ -215,11 +226,11 @@
         self.shares.drop_all()
 
     def _on_gain(self, holding: Holding) -> None:
-        self.fleet.gain(holding)
+        self.fleet.add_share(holding)
         self.scheduler.gain(holding)
 
     def _on_loss(self, share: ShareNo) -> None:
-        self.fleet.lose(share)
+        self.fleet.remove_share(share)
         self.scheduler.lose(share)
 
     # --- jobs in the store ---------------------------------------------------------------
@@ -230,7 +241,7 @@
             self.scheduler.job_changed(self.jobs.apply_job(uid, value, stamp, self.context.now))
 
     def _cancellations_seen(self, uids: list[JobId]) -> None:
-        """A peer saw these cancellations stored; this node may have no contact to read them."""
+        """Applies cancellations that a peer read; this node may be unable to read them itself."""
         for uid in uids:
             job = self.jobs.cancel(uid)
             if job is not None:
@@ -248,121 +259,140 @@
 
     # --- health --------------------------------------------------------------------------
 
-    def _contact(self) -> bool:
-        return self.store.ready and self.context.now < self.store.last_contact + 1.5
+    def _has_contact(self) -> bool:
+        """Returns whether the store is read and the state service answered recently."""
+        return self.store.ready and self.context.now < self.store.last_contact + CONTACT_MAX_AGE_S
 
     def _health(self, ask: Health) -> None:
-        """Healthy with contact, or when a majority is heard to have none: users then get
-        their 503 at once instead of no connection. One that hears neither the state service
-        nor a majority is rather alone with its workers, and the others can serve."""
+        """Answers a health check.
+
+        The node is healthy if it has contact with the state service, or if a majority of nodes is
+        known to have none: then users get their 503 at once instead of no connection. A node that
+        reaches neither the state service nor a majority is probably isolated with its workers, and
+        other nodes can serve users.
+        """
         now = self.context.now
-        heard = [contact for at, contact in self._peer_contact.values() if at > now - 3.0]
-        # Before anybody could notice, a moment's failure is no reason to be taken out.
-        outage = not any(heard) and (
-            1 + len(heard) >= self.context.majority
+        peer_contacts = [
+            contact
+            for received_at, contact in self._peer_contact.values()
+            if received_at > now - PEER_CONTACT_MAX_AGE_S
+        ]
+        # A failure within the TTL of this node's liveness, which no peer can have noticed yet, is
+        # no reason to take it out of service.
+        outage = not any(peer_contacts) and (
+            1 + len(peer_contacts) >= self.context.majority
             or now < self.store.last_contact + self.authority.ttl
         )
-        ok = self.store.ready and (self._contact() or outage)
+        ok = self.store.ready and (self._has_contact() or outage)
         self.context.emit(
             UserAnswer(ask.request, 200 if ok else 503, {"ok": ok, "member": self.context.me})
         )
 
     # --- workers -------------------------------------------------------------------------
 
-    def _beat(self, beat: ReportReceived) -> None:
-        report = beat.report
+    def _handle_report(self, received: ReportReceived) -> None:
+        report = received.report
         record = self.fleet.records.get(report.machine)
         if record is not None:
             self.fleet.learn_addr(report.machine, report.addr)
         if not self.store.ready:
-            self._answer(beat, ReportAnswer(beat.request, 503))
+            self._answer(received, ReportAnswer(received.request, 503))
         elif record is None:
             self.rental.inventory.handle_unknown_report(report)
-            self._answer(beat, ReportAnswer(beat.request, 503))
+            self._answer(received, ReportAnswer(received.request, 503))
         elif record.share in self.shares.owned:
-            self._own_beat(beat, record.share)
-        elif beat.relayed_by is not None:
-            self._answer(beat, ReportAnswer(beat.request, 503))
+            self._handle_own_report(received, record.share)
+        elif received.relayed_by is not None:
+            self._answer(received, ReportAnswer(received.request, 503))
         else:
-            self._pass_on(beat, record.share)
+            self._redirect_or_relay(received, record.share)
 
-    def _own_beat(self, beat: ReportReceived, share: ShareNo) -> None:
-        machine = self.fleet.machines.get(beat.report.machine)
+    def _handle_own_report(self, received: ReportReceived, share: ShareNo) -> None:
+        """Applies and answers a report of a machine owned here."""
+        machine = self.fleet.machines.get(received.report.machine)
         if machine is None or not self.shares.may_command(share):
-            self._answer(beat, ReportAnswer(beat.request, 503))
+            self._answer(received, ReportAnswer(received.request, 503))
             return
-        before = machine.last_message_at
-        if not self.fleet.reports.apply(beat.report):
-            if self.fleet.reports.overtaken(beat.report):
-                self.fleet.answered(machine)
+        previous_message_at = machine.last_message_at
+        if not self.fleet.reports.apply(received.report):
+            if self.fleet.reports.accept_overtaken(received.report):
+                self.fleet.note_answer(machine)
                 self._answer(
-                    beat,
-                    ReportAnswer(beat.request, 200, machine.token, until=self.authority.ends_at()),
+                    received,
+                    ReportAnswer(
+                        received.request, 200, machine.token, until=self.authority.ends_at()
+                    ),
                 )
             else:
-                self._answer(beat, ReportAnswer(beat.request, 503))
+                self._answer(received, ReportAnswer(received.request, 503))
             return
-        self.fleet.reports.note_route(machine, beat.relayed_by is not None, before)
+        self.fleet.reports.note_route(machine, received.relayed_by is not None, previous_message_at)
         if self.fleet.unreached_s(machine) > self.fleet.silence_limit_s():
-            # Answers don't reach it, as it seems; without them its lease surely ends, which
-            # proves its tasks gone. One that heard them after all comes with a new session.
-            self._answer(beat, ReportAnswer(beat.request, 503))
+            # Answers appear not to reach the worker. Without them its lease surely expires, which
+            # proves that its tasks have ended. If it got them after all, it reports with a new
+            # session.
+            self._answer(received, ReportAnswer(received.request, 503))
             return
         self.scheduler.run_turns()
-        self.fleet.answered(machine)
+        self.fleet.note_answer(machine)
         orders = self.fleet.commands.orders(machine, answering=True)  # may raise the token
         self.fleet.commands.delay_next_command(machine)
         self._answer(
-            beat,
-            ReportAnswer(beat.request, 200, machine.token, orders, until=self.authority.ends_at()),
+            received,
+            ReportAnswer(
+                received.request, 200, machine.token, orders, until=self.authority.ends_at()
+            ),
         )
 
     def _reachable(self, member: Member) -> bool:
-        heard, _ = self._peer_contact.get(member, (LONG_AGO, False))
-        # One that has just come back may not have said anything yet.
-        heard = max(heard, self.shares.live_since(member))
-        return self.context.now - heard < 2.5 * GOSSIP_EVERY_S
-
-    def _pass_on(self, beat: ReportReceived, share: ShareNo) -> None:
-        """Send the worker to the owner; if it comes back soon, the owner is out of its
-        reach, and its reports are passed on over the peer link."""
+        last_sign_of_life, _ = self._peer_contact.get(member, (LONG_AGO, False))
+        # A member that has just restarted may not have sent a heartbeat yet.
+        last_sign_of_life = max(last_sign_of_life, self.shares.live_since(member))
+        return self.context.now - last_sign_of_life < REACHABLE_INTERVALS * HEARTBEAT_INTERVAL_S
+
+    def _redirect_or_relay(self, received: ReportReceived, share: ShareNo) -> None:
+        """Redirects the worker to its owner, or relays its report to the owner.
+
+        A worker that comes back soon after a redirect can't reach the owner, so its reports are
+        relayed over the connection between the controllers.
+        """
         now = self.context.now
         owner = self.shares.living_owner(share)
-        id = beat.report.machine
+        id = received.report.machine
         if owner is None or owner == self.context.me or not self._reachable(owner):
-            self._answer(beat, ReportAnswer(beat.request, 503))
+            self._answer(received, ReportAnswer(received.request, 503))
             return
-        sent = self._redirected.get(id)
-        since = self._relaying.get(id)
-        if since is not None and now - since > RELAY_RETEST_S:
-            del self._relaying[id]
-            sent = None
-        unheard = id in self._silent.get(owner, ())
-        if not unheard and (sent is None or now - sent > REDIRECT_MEMORY_S):
-            self._redirected[id] = now
-            self._answer(beat, ReportAnswer(beat.request, 421, owner=owner))
+        redirected_at = self._redirected_at.get(id)
+        relaying_since = self._relaying_since.get(id)
+        if relaying_since is not None and now - relaying_since > RELAY_RETEST_S:
+            del self._relaying_since[id]
+            redirected_at = None
+        silent = id in self._silent_machines.get(owner, ())
+        if not silent and (redirected_at is None or now - redirected_at > REDIRECT_MEMORY_S):
+            self._redirected_at[id] = now
+            self._answer(received, ReportAnswer(received.request, 421, owner=owner))
             return
-        self._redirected[id] = now
-        self._relaying.setdefault(id, now)
-        self._relay_no += 1
-        self._relays[self._relay_no] = (beat.request, Instant(now + RELAY_TIMEOUT_S))
-        self.context.emit(SendToPeer(owner, RelayedReport(self._relay_no, beat.report)))
-
-    def _answer(self, beat: ReportReceived, answer: ReportAnswer) -> None:
-        if beat.relayed_by is None:
+        self._redirected_at[id] = now
+        self._relaying_since.setdefault(id, now)
+        self._relay_number += 1
+        self._relays[self._relay_number] = (received.request, Instant(now + RELAY_TIMEOUT_S))
+        self.context.emit(SendToPeer(owner, RelayedReport(self._relay_number, received.report)))
+
+    def _answer(self, received: ReportReceived, answer: ReportAnswer) -> None:
+        if received.relayed_by is None:
             self.context.emit(answer)
         else:
             response = RelayedResponse(
-                beat.request, answer.status, answer.token, list(answer.orders)
+                received.request, answer.status, answer.token, list(answer.orders)
             )
-            self.context.emit(SendToPeer(beat.relayed_by, response))
+            self.context.emit(SendToPeer(received.relayed_by, response))
 
     # --- peers ---------------------------------------------------------------------------
 
-    def _peer_said(self, member: Member, message: PeerMessage) -> None:
+    def _handle_peer_message(self, member: Member, message: PeerMessage) -> None:
         match message:
             case Heartbeat():
-                self._heartbeat(member, message)
+                self._handle_heartbeat(member, message)
             case SyncRequest():
                 self.store.sync()
             case CancellationNotice():
@@ -384,20 +414,20 @@
             case UnknownMachine():
                 self.rental.inventory.handle_unknown_machine(message)
             case RelayedReport():
-                self._beat(ReportReceived(message.number, message.report, member))
+                self._handle_report(ReportReceived(message.number, message.report, member))
             case RelayedResponse():
-                self._relayed(message)
+                self._handle_relayed_response(message)
             case _:
                 self.rental.transfers.handle(message)
 
-    def _heartbeat(self, member: Member, message: Heartbeat) -> None:
+    def _handle_heartbeat(self, member: Member, message: Heartbeat) -> None:
         self._peer_contact[member] = (self.context.now, message.contact)
         self.users.running.record(member, message.begins, message.running)
-        self._silent[member] = set(message.silent)
+        self._silent_machines[member] = set(message.silent)
         self.confirmations.record_heartbeat(member, message.applied)
 
-    def _relayed(self, message: RelayedResponse) -> None:
-        """The owner's response to a report that was passed on: the worker gets it."""
+    def _handle_relayed_response(self, message: RelayedResponse) -> None:
+        """Answers the worker with the owner's response to its relayed report."""
         relay = self._relays.pop(message.number, None)
         if relay is not None:
             self.context.emit(
--- a/runcourse/core/reports.py
+++ b/runcourse/core/reports.py
@@ -1,4 +1,4 @@
-"""What workers say: which messages are believed, and what follows from those that are."""
+"""Intake of workers' messages: which are accepted, and their effects on machines and tasks."""
 
 from __future__ import annotations
 
@@ -7,13 +7,20 @@
 from .context import Context
 from .ids import Instant, MachineId, Session
 from .jobs import Jobs
-from .machine import Known, Machine
+from .machine import KnownState, Machine
 from .placements import PlacementObserver, PlacementTable
 from .types import Report
 from .worker_commands import WorkerCommands
 
 REPORT_TIMEOUT_S = 4.0  # how long a worker waits for the answer to a report
-RETRY_AFTER_S = 1.0  # and then until it tries the next node
+RETRY_AFTER_S = 1.0  # how long it then waits before it tries the next node
+
+# A longer pause between two reports means that the worker may have tried other nodes meanwhile:
+# a report without an answer takes this part of its timeout and retry delay, a regular report
+# comes within so many report intervals and a margin.
+UNANSWERED_FRACTION = 0.95
+LATE_REPORT_INTERVALS = 1.25
+LATE_MARGIN_S = 0.75
 
 
 class ReportIntake:
@@ -37,91 +44,95 @@
         self.observer = observer
         self.usable = usable
 
-    def apply(self, report: Report, since: Known | None = None) -> bool:
-        """Take a message of a machine owned here. False: it is not believed.
+    def apply(self, report: Report, known: KnownState | None = None) -> bool:
+        """Applies a message of a machine owned here; returns False if it is rejected.
 
-        `since` is given for an answer to a question or command of ours, which is live: what
-        was known when it was sent. A report may be a late copy instead, so it counts only if
-        nothing speaks against it: in one life of a worker its numbers rise, and its token
-        never goes back.
+        For an answer to a probe or command, which is live, `known` is the worker's known state
+        when the probe or command was sent. A report may instead be a delayed copy, so it is
+        accepted only if it is consistent with newer messages: until a worker restarts, its
+        session and sequence numbers rise and its token never decreases.
         """
         machine = self.machines.get(report.machine)
         if machine is None:
             return False
-        if since is not None and self._went_back(report, since):
-            self._restarted(machine, report)
-        elif not self._is_newer(machine, report, live=since is not None):
+        if known is not None and self._moved_back(report, known):
+            self._handle_restart(machine, report)
+        elif not self._is_newer(machine, report, live=known is not None):
             return False
-        # What a session says that surely ended is of no use, however late it arrives.
+        # Messages of a session whose lease surely expired are rejected, however late they arrive.
         if report.session <= machine.expired_session:
-            if since is None:
+            if known is None:
                 self.commands.probe(machine)
             return False
         usable = self.usable(machine)
         self._begin_session(machine, report)
-        if since is None:
+        if known is None:
             self._check_orders(machine, report)
             machine.report_number = (report.session, report.seq)
-        self._note_contact(machine, report, live=since is not None)
+        self._note_contact(machine, report, live=known is not None)
         self._note_notice(machine, report)
         self._apply_tasks(machine, report)
         if not machine.settled and report.token >= machine.base_token:
             machine.settled = True
             self.observer.capacity_changed()
         if not usable and self.usable(machine):
-            # A machine that came up or back is new room, though nothing on it changed.
+            # A machine that became usable adds capacity, although nothing on it changed.
             self.observer.capacity_changed()
         return True
 
     @staticmethod
-    def _went_back(report: Report, since: Known) -> bool:
-        return (report.session, report.seq) < since.number or report.token < since.token
+    def _moved_back(report: Report, known: KnownState) -> bool:
+        return (report.session, report.seq) < known.number or report.token < known.token
 
     def _is_newer(self, machine: Machine, report: Report, live: bool) -> bool:
-        """Does nothing speak against its being newer than all that was heard?"""
+        """Returns whether the message can be newer than all that were accepted.
+
+        Probes the worker if a report may come from before or after a restart; `live` marks
+        answers to commands and probes, which cause no probe.
+        """
         number = (report.session, report.seq)
-        if report.token < max(machine.token_seen, machine.born):
-            # From another life of this worker, the one before or the one after: ask it.
+        if report.token < max(machine.token_seen, machine.min_report_token):
+            # Sent before or after a restart of the worker; a probe tells which.
             if not live:
                 self.commands.probe(machine)
             return False
         if number <= (machine.session, machine.seq):
-            # An old copy, or a worker that came back without memory.
+            # A delayed copy, or the worker restarted and lost its state.
             if not live and number <= machine.report_number:
                 self.commands.probe(machine)
             return False
         return True
 
     def _begin_session(self, machine: Machine, report: Report) -> None:
-        """A message of a session, or of a machine, that was not heard before."""
+        """Handles the first message of a session or of a machine; others change nothing."""
         now = self.context.now
         if report.session > machine.session or machine.last_message_at < 0:
-            # A session's lease counts from its beginning, whatever was answered before; tasks
-            # may be started in it by commands before any report of it is answered.
+            # A session's lease counts from its beginning, regardless of earlier answers: commands
+            # may start tasks in it before any report of it is answered.
             machine.note_answer(now)
         if report.session > machine.session:
             if machine.session:
                 for placement in list(machine.placements.values()):
                     self.placements.remove(placement, "session")
-                # Its lease ran out, so answers may not reach it.
+                # Its lease expired, so answers may not reach it.
                 machine.mark_suspected(now)
-                self.commands.wake(machine.id)
+                self.commands.enqueue(machine.id)
             machine.images.clear()
             machine.fetches = None
             machine.up_since = now
         if machine.last_message_at < 0:
             machine.up_since = now
             machine.suspected_at = now
-            self.commands.wake(machine.id)  # an empty command shows that it can be reached
+            self.commands.enqueue(machine.id)  # an empty command proves that it is reachable
 
     def _note_contact(self, machine: Machine, report: Report, live: bool) -> None:
         machine.addr = report.addr or machine.addr
         machine.session, machine.seq = report.session, report.seq
-        machine.note_heard(self.context.now)
-        suspected = machine.suspected
+        machine.note_message(self.context.now)
+        was_suspected = machine.suspected
         machine.token_seen = max(machine.token_seen, report.token)
-        if not machine.suspected and (suspected or live):
-            machine.reached = self.context.now
+        if not machine.suspected and (was_suspected or live):
+            machine.last_reached_at = self.context.now
 
     def _note_notice(self, machine: Machine, report: Report) -> None:
         if report.notice_s is None:
@@ -144,9 +155,12 @@
                 self.placements.remove(placement, "absent")
                 self.observer.capacity_changed()
 
-    def overtaken(self, report: Report) -> bool:
-        """Is it a report that a later direct answer of its worker overtook? Its worker still
-        waits for an answer, unlike that of a copy."""
+    def accept_overtaken(self, report: Report) -> bool:
+        """Returns whether a later answer to a command or probe overtook this report.
+
+        Unlike after a delayed copy, its worker still waits for an answer; so the report's number
+        is recorded, and the answer may be sent.
+        """
         machine = self.machines.get(report.machine)
         number = (report.session, report.seq)
         if (
@@ -159,10 +173,12 @@
         machine.report_number = number
         return True
 
-    def _restarted(self, machine: Machine, report: Report) -> None:
-        """A live answer went back in its numbers: the worker lost its memory, and with it
-        every task. Reports of its former life must not be taken for news of this one, so
-        only those that show a token raised now are believed."""
+    def _handle_restart(self, machine: Machine, report: Report) -> None:
+        """Handles a live answer with lower numbers than known: the worker lost its state.
+
+        All its tasks are lost too. Delayed reports from before the restart must not be accepted,
+        so from now on only reports with the token raised here are.
+        """
         self.context.log("warning", f"machine {machine.id}: came back without memory")
         for placement in list(machine.placements.values()):
             self.placements.remove(placement, "restart")
@@ -175,30 +191,38 @@
         machine.mark_suspected(self.context.now)
         machine.suspected_at = machine.up_since = self.context.now
         machine.note_answer(self.context.now)
-        machine.born = machine.suspect_token
-        self.commands.wake(machine.id)
+        machine.min_report_token = machine.suspect_token
+        self.commands.enqueue(machine.id)
 
     def _check_orders(self, machine: Machine, report: Report) -> None:
-        """A worker sends its next report only after it had the answer to the one before, or
-        gave it up: orders of that answer that left no trace did not arrive."""
+        """Suspects the machine if the start orders of an earlier answer had no effect.
+
+        A worker sends its next report only after it got the answer to the previous one, or gave
+        up waiting. If a task of those orders was never listed, that answer did not arrive.
+        """
         listed = {(entry.task, entry.attempt) for entry in report.tasks}
         if any(
-            0 <= p.given < report.seq and not p.seen and key not in listed
-            for key, p in machine.placements.items()
+            0 <= placement.start_report_seq < report.seq
+            and not placement.seen
+            and key not in listed
+            for key, placement in machine.placements.items()
         ):
             self.commands.suspect(machine)
 
-    def note_route(self, machine: Machine, relayed: bool, before: Instant) -> None:
-        """A report came by way of a peer, or after a pause (last heard `before`) in which the
-        worker tried others: so an answer may have failed to reach it."""
+    def note_route(self, machine: Machine, relayed: bool, previous_message_at: Instant) -> None:
+        """Suspects the machine if the route of its report means that an answer may be lost.
+
+        That is so if a peer relayed the report, or if it came after a pause since
+        `previous_message_at` that is long enough for the worker to have tried other nodes.
+        """
         now = self.context.now
-        pause = max(
-            0.95 * (REPORT_TIMEOUT_S + RETRY_AFTER_S),
-            1.25 * self.context.platform.settings.workers.report_s + 0.75,
+        pause_s = max(
+            UNANSWERED_FRACTION * (REPORT_TIMEOUT_S + RETRY_AFTER_S),
+            LATE_REPORT_INTERVALS * self.context.platform.settings.workers.report_s + LATE_MARGIN_S,
         )
         if (
-            (relayed or now - before > pause)
-            and before >= 0
-            and now - machine.reached > REPORT_TIMEOUT_S
+            (relayed or now - previous_message_at > pause_s)
+            and previous_message_at >= 0
+            and now - machine.last_reached_at > REPORT_TIMEOUT_S
         ):
-            self.commands.suspect(machine, max(before, machine.reached))
+            self.commands.suspect(machine, max(previous_message_at, machine.last_reached_at))
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -1,8 +1,9 @@
-"""The machines of one owned share, indexed by what the owner asks of them.
+"""The machines of one owned share, with indexes for the owner's queries.
 
-A turn of the scheduler asks which machines have room, a tick which were not heard or answered for
-long. Both must cost what they find, not what the fleet has. Machines tell their share when
-their room changes; the other indexes hold *candidates*, which are looked at again when asked for.
+A scheduling turn queries the machines with room; a tick queries those without a recent message or
+answer. The cost of both must depend on the number of results, not on the size of the fleet. The
+room index is updated when a machine's room changes; the other indexes hold *candidates*, whose
+condition is checked again by each query.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 
 
 class ShareMachines:
-    """One share's machines in the order in which they came, with indexes and running totals."""
+    """One share's machines in the order of their addition, with indexes and running totals."""
 
     def __init__(self) -> None:
         self._machines: dict[MachineId, Machine] = {}
         self._by_room: dict[int, dict[MachineId, Machine]] = {}  # by whole CPUs free
-        self._by_heard: dict[MachineId, Machine] = {}  # those heard longest ago first
-        self._by_answer: dict[MachineId, Machine] = {}  # those answered longest ago first
-        self._unheard: dict[MachineId, Machine] = {}
+        self._by_last_message: dict[MachineId, Machine] = {}  # oldest message or addition first
+        self._by_last_answer: dict[MachineId, Machine] = {}  # oldest answer first
+        self._never_seen: dict[MachineId, Machine] = {}  # no message since they were added
         self._unsettled: dict[MachineId, Machine] = {}
         self._suspected: dict[MachineId, Machine] = {}
         self._under_notice: dict[MachineId, Machine] = {}
         self._added = 0
-        self.used_cpus = 0.0  # allocated on all of them
-        self.service_cpus = 0.0  # the same, by services
+        self.used_cpus = 0.0  # allocated on all machines
+        self.service_cpus = 0.0  # allocated to services on all machines
 
     def __len__(self) -> int:
         return len(self._machines)
@@ -40,13 +41,13 @@
     # --- changes -------------------------------------------------------------------------
 
     def add(self, machine: Machine) -> None:
-        """The machine belongs to the share from now on."""
+        """Adds a machine to the share."""
         self._added += 1
         machine.position = self._added
         machine.index = self
         id = machine.id
-        self._machines[id] = self._by_heard[id] = self._by_answer[id] = machine
-        self._unheard[id] = machine
+        self._machines[id] = self._by_last_message[id] = self._by_last_answer[id] = machine
+        self._never_seen[id] = machine
         if not machine.settled:
             self._unsettled[id] = machine
         if machine.suspected:
@@ -56,15 +57,15 @@
         self._by_room.setdefault(machine.room_level, {})[id] = machine
 
     def remove(self, machine: Machine) -> None:
-        """The machine leaves the share."""
+        """Removes a machine from the share."""
         id = machine.id
         machine.index = None
         del self._machines[id]
         del self._by_room[machine.room_level][id]
         for index in (
-            self._by_heard,
-            self._by_answer,
-            self._unheard,
+            self._by_last_message,
+            self._by_last_answer,
+            self._never_seen,
             self._unsettled,
             self._suspected,
             self._under_notice,
@@ -73,94 +74,99 @@
         self.used_cpus -= machine.used.cpus
         self.service_cpus -= machine.service_cpus
         if not self._machines:
-            self.used_cpus = self.service_cpus = 0.0  # no rounding left over
+            self.used_cpus = self.service_cpus = 0.0  # discards rounding errors
 
-    def room_changed(self, machine: Machine, before: int) -> None:
-        """The machine has another level of room than `before`."""
-        del self._by_room[before][machine.id]
+    def room_changed(self, machine: Machine, previous_level: int) -> None:
+        """Moves the machine from its previous room level to its present one."""
+        del self._by_room[previous_level][machine.id]
         self._by_room.setdefault(machine.room_level, {})[machine.id] = machine
 
-    def allocated(self, cpus: float, lasting: float) -> None:
-        """More is allocated on a machine, or less; `service_cpus`: of services."""
+    def allocation_changed(self, cpus: float, service_cpus: float) -> None:
+        """Adds to the CPUs allocated to all tasks and to services; both may be negative."""
         self.used_cpus += cpus
-        self.service_cpus += lasting
+        self.service_cpus += service_cpus
 
-    def last_message_at(self, machine: Machine) -> None:
-        """A message of the machine was believed now."""
-        self._unheard.pop(machine.id, None)
-        self._by_heard.pop(machine.id, None)
-        self._by_heard[machine.id] = machine
+    def message_received(self, machine: Machine) -> None:
+        """Records that a message of the machine was accepted now."""
+        self._never_seen.pop(machine.id, None)
+        self._by_last_message.pop(machine.id, None)
+        self._by_last_message[machine.id] = machine
 
-    def answered(self, machine: Machine) -> None:
-        """The lease of the machine's worker counts from now."""
-        self._by_answer.pop(machine.id, None)
-        self._by_answer[machine.id] = machine
+    def lease_renewed(self, machine: Machine) -> None:
+        """Records that the lease of the machine's worker counts from now."""
+        self._by_last_answer.pop(machine.id, None)
+        self._by_last_answer[machine.id] = machine
 
-    def suspect(self, machine: Machine) -> None:
-        """The machine counts as not reached from now on."""
+    def became_suspected(self, machine: Machine) -> None:
+        """Records that the machine counts as unreachable from now on."""
         self._suspected[machine.id] = machine
 
-    def unsettle(self, machine: Machine) -> None:
-        """The machine may hold tasks of an earlier owner."""
+    def became_unsettled(self, machine: Machine) -> None:
+        """Records that the machine may hold tasks of an earlier owner."""
         self._unsettled[machine.id] = machine
 
-    def notice(self, machine: Machine) -> None:
-        """The cloud will take the machine away."""
+    def notice_received(self, machine: Machine) -> None:
+        """Records that the cloud will take the machine away."""
         self._under_notice[machine.id] = machine
 
-    # --- lookups -------------------------------------------------------------------------
+    # --- queries -------------------------------------------------------------------------
 
-    def with_room(self, least: Size) -> list[Machine]:
-        """Machines with room for so much, in the order in which they came."""
-        level = math.floor(least.cpus)
+    def with_room(self, min_size: Size) -> list[Machine]:
+        """Returns the machines with room for `min_size`, in the order of their addition."""
+        level = math.floor(min_size.cpus)
         found = [
             machine
-            for free, machines in self._by_room.items()
-            if free >= level
+            for room_level, machines in self._by_room.items()
+            if room_level >= level
             for machine in machines.values()
-            if least.fits(machine.room)
+            if min_size.fits(machine.room)
         ]
         found.sort(key=_position)
         return found
 
     def no_message_since(self, at: float) -> Iterable[Machine]:
-        """Machines neither heard nor added after that instant."""
-        for machine in self._by_heard.values():
+        """Yields the machines that were added and sent their last message before `at`."""
+        for machine in self._by_last_message.values():
             if max(machine.last_message_at, machine.added) >= at:
                 return
             yield machine
 
     def not_answered_since(self, at: float) -> list[Machine]:
-        """Machines whose workers got no answer after that instant."""
+        """Returns the machines whose workers got their last answer before `at`."""
         found: list[Machine] = []
-        for machine in self._by_answer.values():
+        for machine in self._by_last_answer.values():
             if machine.last_answer >= at:
                 break
             found.append(machine)
         return found
 
     def count_ever_seen(self, epoch: int) -> int:
-        """How many machines were ever heard, here or by an earlier owner."""
-        return len(self._machines) - sum(m.record.stamp > epoch for m in self._unheard.values())
+        """Returns how many machines sent a message to this node or may have to an earlier owner.
+
+        Machines recorded after `epoch`, the stamp of the takeover, were new to this owner.
+        """
+        return len(self._machines) - sum(m.record.stamp > epoch for m in self._never_seen.values())
 
     def unsettled(self) -> list[Machine]:
-        """Machines that may hold tasks of an earlier owner."""
-        return self._still(self._unsettled, lambda machine: not machine.settled)
+        """Returns the machines that may hold tasks of an earlier owner."""
+        return self._prune(self._unsettled, lambda machine: not machine.settled)
 
     def suspected(self) -> list[Machine]:
-        """Machines that are not shown to be reached."""
-        return self._still(self._suspected, lambda machine: machine.suspected)
+        """Returns the machines that have not proved to be reachable."""
+        return self._prune(self._suspected, lambda machine: machine.suspected)
 
     def under_notice(self) -> list[Machine]:
-        """Machines that the cloud will take away."""
-        return self._still(self._under_notice, lambda machine: machine.notice_until is not None)
+        """Returns the machines that the cloud will take away."""
+        return self._prune(self._under_notice, lambda machine: machine.notice_until is not None)
 
     @staticmethod
-    def _still(index: dict[MachineId, Machine], holds: Callable[[Machine], bool]) -> list[Machine]:
-        """The machines of an index for which it still holds; the others leave it."""
+    def _prune(
+        index: dict[MachineId, Machine], matches: Callable[[Machine], bool]
+    ) -> list[Machine]:
+        """Removes machines that no longer match from an index and returns the others."""
         if not index:
             return []
-        for id in [id for id, machine in index.items() if not holds(machine)]:
+        for id in [id for id, machine in index.items() if not matches(machine)]:
             del index[id]
         return list(index.values())
 
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a controller: its view of shares, machines and waiting work."""
+"""The answer to operators' status queries: a controller's view of shares, machines and work."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def status_of(node: Node) -> dict[str, Any]:
-    """The node's view as plain values."""
+    """Returns the node's view as plain values."""
     now = node.context.now
     shares = []
     for number in node.shares.all():
@@ -27,20 +27,22 @@
         )
     machines = [
         {
-            "machine": m.id,
-            "share": m.share.number,
-            "type": m.record.type,
-            "zone": m.record.zone,
-            "spot": m.record.spot,
-            "tasks": sum(1 for p in m.placements.values() if p.active),
-            "cpus": m.used.cpus,
-            "usable": node.fleet.usable(m),
-            "set_aside": now < m.quarantined_until,
-            "leaving": m.record.leaving,
-            "heat": node.policy.heat_of(m.id),
-            "heard_s": round(now - m.last_message_at, 1) if m.last_message_at > LONG_AGO else None,
+            "machine": machine.id,
+            "share": machine.share.number,
+            "type": machine.record.type,
+            "zone": machine.record.zone,
+            "spot": machine.record.spot,
+            "tasks": sum(1 for placement in machine.placements.values() if placement.active),
+            "cpus": machine.used.cpus,
+            "usable": node.fleet.usable(machine),
+            "set_aside": now < machine.quarantined_until,
+            "leaving": machine.record.leaving,
+            "heat": node.policy.heat_of(machine.id),
+            "heard_s": round(now - machine.last_message_at, 1)
+            if machine.last_message_at > LONG_AGO
+            else None,
         }
-        for m in node.fleet.machines.values()
+        for machine in node.fleet.machines.values()
     ]
     gangs = [
         {
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -1,4 +1,4 @@
-"""Orders and questions to workers, straight to their addresses or in answers to their reports."""
+"""Orders and probes to workers, sent as commands or in answers to their reports."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from .context import Context
 from .ids import Instant, MachineId, later
 from .jobs import Jobs
-from .machine import Known, Machine, Placement
+from .machine import KnownState, Machine, Placement
 from .placements import PlacementTable
 from .shares import Shares
 from .types import Command, Order, Outcome, Probe, Report
 
-GAP_PER_TASK_S = 0.004  # between two commands to a machine, for each task that it lists
-PROBE_GAP_S = 1.0  # between two questions to one worker
+GAP_PER_TASK_S = 0.004  # between two commands to a machine, for each task placed there
+PROBE_GAP_S = 1.0  # between two probes of one worker
 FAILED_GAP_S = 1.0  # after a command without an answer
 
-ApplyReport = Callable[[Report, Known], bool]
+ApplyReport = Callable[[Report, KnownState], bool]
 
 
 class WorkerCommands:
-    """What workers are to be told, and how many connections that may take at once."""
+    """Sends commands and probes to workers over a bounded number of connections."""
 
     def __init__(
         self,
@@ -36,61 +36,69 @@
         self.jobs = jobs
         self.machines = machines
         self.apply_report = apply_report
-        self._dirty: dict[MachineId, None] = {}  # to be told something, in turn
-        self._waiting_suspected: dict[
-            MachineId, None
-        ] = {}  # suspected ones that wait for a connection
-        self._resting: dict[MachineId, Instant] = {}  # the same, but not before
-        self._rests: list[tuple[Instant, MachineId]] = []  # heap of those ends, some outdated
-        # Commands and questions to workers are bounded by the sockets there are for them;
-        # machines that may not answer take no more than half, so that others never wait for them.
+        self._dirty: dict[MachineId, None] = {}  # a command may be due, in this order
+        # Suspected machines that wait for a connection.
+        self._waiting_suspected: dict[MachineId, None] = {}
+        self._paused_until: dict[MachineId, Instant] = {}  # a command may be due, but not earlier
+        self._pause_ends: list[tuple[Instant, MachineId]] = []  # heap of those; some outdated
+        # Commands and probes are bounded by the sockets reserved for them. Machines that may not
+        # answer use at most half of these, so that the others never wait for them.
         sockets = context.platform.settings.quota.sockets(len(context.members))
         self._max_open = sockets.commands
         self._open = 0
         self._open_suspected = 0
 
     def connect(self, placements: PlacementTable) -> None:
-        """The table and this sender refer to each other: the fleet builds both."""
+        """Sets the placement table, which needs this object for its own construction."""
         self.placements = placements
 
-    def wake(self, id: MachineId) -> None:
-        """The worker has to be told something, or shown that it can be reached."""
+    def enqueue(self, id: MachineId) -> None:
+        """Queues a machine whose worker may need orders or a proof of its reachability."""
         self._waiting_suspected.pop(id, None)
         self._dirty[id] = None
 
     def suspect(self, machine: Machine, since: Instant | None = None) -> None:
-        """Something speaks against its being reachable `since` then: a raised token will tell,
-        by way of a command at once or of the next answers."""
+        """Marks a machine as possibly unreachable since `since`, by default since now.
+
+        Its token is raised and sent with a command at once, and with the next answers; the worker
+        proves reachable by reporting it.
+        """
         if not machine.suspected:
             machine.mark_suspected(self.context.now if since is None else since)
-            self.wake(machine.id)
+            self.enqueue(machine.id)
 
     def probe(self, machine: Machine) -> None:
-        """Ask the worker itself: no report is believed over its live answer."""
+        """Requests the worker's state, which takes precedence over its reports.
+
+        Does nothing if a probe is in flight or was sent just now, or if too many machines that may
+        not answer hold connections.
+        """
         now = self.context.now
         if (
-            machine.probing
+            machine.probe_in_flight
             or not machine.addr
-            or now < machine.asked_at + PROBE_GAP_S
-            or self._suspected_are_many()
+            or now < machine.probed_at + PROBE_GAP_S
+            or self._suspected_limit_reached()
         ):
             return
-        machine.probing = True
-        self._opened(True)
-        machine.asked_at = now
-        since = machine.known_state
+        machine.probe_in_flight = True
+        self._count_opened(True)
+        machine.probed_at = now
+        known = machine.known_state
 
         def done(outcome: Outcome) -> None:
-            machine.probing = False
-            self._closed(True)
+            machine.probe_in_flight = False
+            self._count_closed(True)
             if self.machines.get(machine.id) is machine and isinstance(outcome.body, Report):
-                self.apply_report(outcome.body, since)
+                self.apply_report(outcome.body, known)
 
         self.context.emit(Probe(done, machine.addr))
 
     def orders(self, machine: Machine, answering: bool) -> tuple[Order, ...]:
-        """Everything the worker should do, as far as it is not known to have done it;
-        `answering`: in the answer to a report."""
+        """Returns all orders that the worker is not known to have executed.
+
+        `answering` means that they are sent in the answer to a report.
+        """
         orders: list[Order] = []
         for placement in machine.placements.values():
             if placement.stage == "ended":
@@ -103,26 +111,35 @@
                     )
             elif not placement.seen:
                 orders.append(Order("start", placement.task, placement.attempt))
-                if answering and placement.given < 0:
-                    placement.given = machine.seq
+                if answering and placement.start_report_seq < 0:
+                    placement.start_report_seq = machine.seq
         return tuple(orders)
 
     def _may_forget(self, placement: Placement) -> bool:
-        """Only in answers to reports: one report is in flight at a time, so no older answer can
-        still carry an order to start this attempt. The same must hold for direct commands, or
-        the attempt would start once more."""
+        """Returns whether the answer to a report may order the worker to forget an ended attempt.
+
+        Only answers to reports may: one report is in flight at a time, so no older answer can
+        still carry the start order of this attempt. No command may be able to carry it either, or
+        the attempt would start again.
+        """
         machine = placement.machine
-        return not machine.command_in_flight and not machine.suspected and self._stored(placement)
+        return (
+            not machine.command_in_flight and not machine.suspected and self._is_stored(placement)
+        )
 
     @staticmethod
     def _forget(placement: Placement) -> Order:
-        """A copy of a command that was carried out would start it once more, so the answer that
-        clears it carries a token above that command's."""
-        if placement.do_token >= placement.machine.token:
+        """Returns the order to forget an attempt, after fencing off commands that started it.
+
+        A delayed copy of such a command would start the attempt again, so the answer with this
+        order carries a higher token than the command did.
+        """
+        if placement.start_token >= placement.machine.token:
             placement.machine.raise_fence()
         return Order("forget", placement.task, placement.attempt)
 
-    def _stored(self, placement: Placement) -> bool:
+    def _is_stored(self, placement: Placement) -> bool:
+        """Returns whether the outcome of an ended attempt is stored or need not be."""
         if placement.cause != "done":
             return True
         job = self.jobs.get(placement.task.job)
@@ -131,22 +148,24 @@
         )
 
     def delay_next_command(self, machine: Machine) -> None:
-        """Whether it was told by an answer or a command, the next command waits a moment: each
-        is answered with a list of all tasks there, and a machine of a hundred short ones would
-        ask for one many times a second. Its next report tells as much."""
+        """Delays the next command to a machine that just got a command or an answer.
+
+        A worker answers each command with a list of all its tasks, and a machine with a hundred
+        short tasks would need many commands a second. Its next report has the same list.
+        """
         gap = GAP_PER_TASK_S * len(machine.placements)
         machine.next_command_at = max(machine.next_command_at, later(self.context.now, gap))
 
     def push(self) -> None:
-        """Send what is new straight to the workers; the next report's answer repeats it."""
+        """Sends new orders to the workers as commands; answers to later reports repeat them."""
         if self._dirty:
             self._push_dirty()
         while (
             self._waiting_suspected
-            and not self._suspected_are_many()
+            and not self._suspected_limit_reached()
             and self._open < self._max_open
         ):
-            self.wake(next(iter(self._waiting_suspected)))
+            self.enqueue(next(iter(self._waiting_suspected)))
             self._push_dirty()
 
     def _push_dirty(self) -> None:
@@ -157,96 +176,101 @@
             if machine is not None and self.shares.may_command(machine.share.number):
                 self._push_one(machine)
 
-    def _suspected_are_many(self) -> bool:
-        """Do commands to machines that may not answer take all that they may?"""
+    def _suspected_limit_reached(self) -> bool:
+        """Returns whether machines that may not answer use all connections open to them."""
         return 2 * self._open_suspected >= self._max_open
 
     def _push_one(self, machine: Machine) -> None:
         if machine.command_in_flight or self.context.now < machine.next_command_at:
-            # Looked at again when it may be told; not at every input until then.
-            self._rest(machine)
+            # Queued again when the next command may be sent, and not checked at every input.
+            self._pause(machine)
             return
-        if machine.suspected and self._suspected_are_many():
-            # Looked at again when one of them was answered: a whole fleet may wait here.
+        if machine.suspected and self._suspected_limit_reached():
+            # Queued again when a suspected machine's command ended: a whole fleet may wait here.
             self._waiting_suspected[machine.id] = None
             return
         orders = self.orders(machine, answering=False)
-        fencing = any(p.fence > machine.token_seen for p in machine.placements.values())
+        fencing = any(
+            placement.fence > machine.token_seen for placement in machine.placements.values()
+        )
         if machine.addr and machine.session and (orders or fencing or machine.suspected):
             self._command(machine, orders)
 
-    def _rest(self, machine: Machine) -> None:
-        self._resting[machine.id] = machine.next_command_at
-        heapq.heappush(self._rests, (machine.next_command_at, machine.id))
+    def _pause(self, machine: Machine) -> None:
+        self._paused_until[machine.id] = machine.next_command_at
+        heapq.heappush(self._pause_ends, (machine.next_command_at, machine.id))
 
-    def wake_rested(self) -> None:
-        """Look again at the machines whose pause between two commands is over."""
-        while self._rests and self._rests[0][0] <= self.context.now:
-            at, id = heapq.heappop(self._rests)
-            if self._resting.get(id) != at:
+    def enqueue_due(self) -> None:
+        """Queues the machines whose pause between two commands has ended."""
+        while self._pause_ends and self._pause_ends[0][0] <= self.context.now:
+            ends_at, id = heapq.heappop(self._pause_ends)
+            if self._paused_until.get(id) != ends_at:
                 continue
             machine = self.machines.get(id)
             if machine is not None and machine.command_in_flight:
-                continue  # woken by the answer to its command
-            del self._resting[id]
+                continue  # the end of its command queues it
+            del self._paused_until[id]
             if machine is not None:
                 self._dirty[id] = None
 
-    def _opened(self, suspected: bool) -> None:
+    def _count_opened(self, suspected: bool) -> None:
         self._open += 1
         self._open_suspected += suspected
 
-    def _closed(self, suspected: bool) -> None:
+    def _count_closed(self, suspected: bool) -> None:
         self._open -= 1
         self._open_suspected -= suspected
 
     def _command(self, machine: Machine, orders: tuple[Order, ...]) -> None:
         machine.command_in_flight = True
         suspected = machine.suspected
-        self._opened(suspected)
-        token, session, since = machine.token, machine.session, machine.known_state
-        first = self._note_starts(machine)
+        self._count_opened(suspected)
+        token, session, known = machine.token, machine.session, machine.known_state
+        first_starts = self._note_starts(machine)
 
         def done(outcome: Outcome) -> None:
             machine.command_in_flight = False
-            self._closed(suspected)
-            if self._resting.pop(machine.id, None) is not None:  # something came up meanwhile
-                self.wake(machine.id)
+            self._count_closed(suspected)
+            if self._paused_until.pop(machine.id, None) is not None:  # was queued meanwhile
+                self.enqueue(machine.id)
             if self.machines.get(machine.id) is not machine:
                 return
             if isinstance(outcome.body, Report):
-                self.apply_report(outcome.body, since)
+                self.apply_report(outcome.body, known)
                 self.delay_next_command(machine)
                 if outcome.status == 409 and machine.session == session:
                     self.context.log("info", f"machine {machine.id} refused token {token}")
             else:
-                self._unanswered(machine, outcome, first)
+                self._handle_unanswered(machine, outcome, first_starts)
 
         self.context.emit(
             Command(done, machine.addr, token, session, orders, self.shares.authority.ends_at())
         )
 
     def _note_starts(self, machine: Machine) -> list[Placement]:
-        """Note which tasks the next command may start; returns those that none did before."""
+        """Records which tasks the next command may start; returns those in no earlier command."""
         starts = [
             p for p in machine.placements.values() if not p.seen and not p.stopping and p.active
         ]
-        first = [p for p in starts if not p.commanded]
+        first_starts = [p for p in starts if not p.start_commanded]
         for placement in starts:
-            placement.commanded = True
-            placement.do_token = machine.token
-        return first
+            placement.start_commanded = True
+            placement.start_token = machine.token
+        return first_starts
 
-    def _unanswered(self, machine: Machine, outcome: Outcome, first: list[Placement]) -> None:
-        """A command without an answer; `first`: the tasks that it was the first to start."""
+    def _handle_unanswered(
+        self, machine: Machine, outcome: Outcome, first_starts: list[Placement]
+    ) -> None:
+        """Handles a command without an answer, the first one to start `first_starts`."""
         machine.next_command_at = later(self.context.now, FAILED_GAP_S)
         if outcome.sent:
-            # It may be executed at any time while token and session match.
+            # The worker may execute it at any time while token and session match.
             machine.mark_suspected(self.context.now)
             return
-        if machine.reached < outcome.began:
+        if machine.last_reached_at < outcome.began:
             self.suspect(machine)
-        for placement in first:
-            # The order to start it never left, in this command or an answer: it is nowhere.
-            if placement.given < 0 and not placement.seen and placement.active:
+        for placement in first_starts:
+            # Its start order was never sent, neither in this command nor in an answer, so it
+            # can't run anywhere.
+            if placement.start_report_seq < 0 and not placement.seen and placement.active:
                 self.placements.remove(placement, "unsent")
--- a/runcourse/core/worker_values.py
+++ b/runcourse/core/worker_values.py
@@ -1,4 +1,4 @@
-"""What workers report and are told, apart from how it is spelled or sent."""
+"""Reports of and orders to workers, independent of their encoding and transport."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TaskReport(NamedTuple):
-    """What a worker says of one task."""
+    """A worker's report of one task."""
 
     task: TaskId
     attempt: Attempt
@@ -18,7 +18,7 @@
 
 
 class Report(NamedTuple):
-    """What a worker says of itself and its tasks."""
+    """A worker's report of itself and its tasks."""
 
     machine: MachineId
     addr: str
@@ -33,7 +33,7 @@
 
 
 class Order(NamedTuple):
-    """What a worker is told to do with one task."""
+    """An order to a worker for one task."""
 
     op: str  # start, stop, forget
     task: TaskId
