--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's list lags and goes back; machines turn up that nobody waits for."""
+"""Tests handling of outdated cloud lists, slow boots, late hires and refused hires."""
 
 from collections import deque
 
@@ -14,87 +14,89 @@
     return next(n for n in world.nodes.values() if n is not None and n.rental.leadership.leading)
 
 
-def listed(world: World) -> tuple[t.CloudMachine, ...]:
+def cloud_list(world: World) -> tuple[t.CloudMachine, ...]:
     return tuple(
         t.CloudMachine(
-            w.id,
-            f"{w.id}:1",
+            worker.id,
+            f"{worker.id}:1",
             "m4",
-            w.zone,
-            w.spot,  # type: ignore[arg-type]
+            worker.zone,
+            worker.spot,  # type: ignore[arg-type]
             "running",
             9.0,
         )
-        for w in world.workers.values()
+        for worker in world.workers.values()
     )
 
 
-def test_a_list_that_goes_back_loses_no_machine() -> None:
+def test_outdated_cloud_list_marks_no_machine_as_gone() -> None:
     world = ready(machines=3)
     node = leader(world)
-    lag = node.context.platform.settings.cloud.list_lag_s
-    began = node.context.now
+    lag_s = node.context.platform.settings.cloud.list_lag_s
+    listed_at = node.context.now
     node.rental.inventory._first_listed.clear()
-    node.rental.inventory._handle_list(listed(world), began)
+    node.rental.inventory._handle_list(cloud_list(world), listed_at)
     node.context.effects.clear()
-    node.rental.inventory._handle_list(listed(world)[1:], Instant(began + 2 * lag))
+    node.rental.inventory._handle_list(cloud_list(world)[1:], Instant(listed_at + 2 * lag_s))
     assert not [e for e in node.context.effects if isinstance(e, t.Commit)], (
-        "it may only be an old list"
+        "the list may be an older one"
     )
-    gone = next(iter(world.workers))
+    missing = next(iter(world.workers))
 
-    def dropped(at: float) -> list[str]:
-        node.rental.inventory._handle_list(listed(world)[1:], Instant(at))
+    def keys_marked_gone(at: float) -> list[str]:
+        node.rental.inventory._handle_list(cloud_list(world)[1:], Instant(at))
         return [
-            k
-            for e in node.context.effects
-            if isinstance(e, t.Commit)
-            for k, v, _ in e.then
-            if v == {"gone": True}
+            key
+            for effect in node.context.effects
+            if isinstance(effect, t.Commit)
+            for key, value, _ in effect.then
+            if value == {"gone": True}
         ]
 
-    # Lists may be older still than they should be: one alone proves nothing, and no list makes a
-    # machine gone whose worker is heard.
-    assert not dropped(began + 2 * lag + 1.5) and not dropped(began + 2 * lag + 1.6)
-    node.rental.inventory._missing_since[gone] = Instant(began - lag)  # type: ignore[index]
-    assert not dropped(began + 2 * lag + 1.7)
-    node.rental.view._last_loads.clear()  # no owner says that it is heard
-    assert dropped(began + 2 * lag + 1.8) == [f"rc/machine/{gone}"]
+    # A list may be older than the stated lag, so one list alone does not prove that a machine is
+    # gone, and no list marks a machine as gone while its worker reports.
+    assert not keys_marked_gone(listed_at + 2 * lag_s + 1.5) and not keys_marked_gone(
+        listed_at + 2 * lag_s + 1.6
+    )
+    node.rental.inventory._missing_since[missing] = Instant(listed_at - lag_s)  # type: ignore[index]
+    assert not keys_marked_gone(listed_at + 2 * lag_s + 1.7)
+    node.rental.view._last_loads.clear()  # no owner states that the worker reports
+    assert keys_marked_gone(listed_at + 2 * lag_s + 1.8) == [f"rc/machine/{missing}"]
 
 
-def test_a_boot_is_overdue_sooner_where_others_come_up_in_time() -> None:
-    """Work waits for no machine that is overdue; where all are slow nothing is hired twice."""
+def test_boot_is_overdue_later_if_recent_boots_were_slow() -> None:
+    """Tasks do not wait for an overdue machine; if all boot slowly, none is hired twice."""
     rental = leader(ready(machines=1)).rental
-    type_ = world_type()
-    usual, returned = (
+    type_ = slow_booting_type()
+    overdue_s, give_up_s = (
         rental.boot_times.overdue_after_s(type_),
         rental.boot_times.give_up_after_s(type_),
     )
-    assert usual < returned <= 2.5 * type_.boot_s + 5.0
+    assert overdue_s < give_up_s <= 2.5 * type_.boot_s + 5.0
     rental.boot_times.recent_ratios[type_.name] = deque([0.05, 0.9])
-    assert rental.boot_times.overdue_after_s(type_) == usual
+    assert rental.boot_times.overdue_after_s(type_) == overdue_s
     rental.boot_times.recent_ratios[type_.name] = deque([2.6, 2.9])
     assert rental.boot_times.overdue_after_s(type_) > 3.0 * type_.boot_s
     rental.boot_times.recent_ratios[type_.name] = deque([40.0])
     assert rental.boot_times.overdue_after_s(type_) <= 4.0 * type_.boot_s + 2.0
 
 
-def world_type() -> t.MachineType:
+def slow_booting_type() -> t.MachineType:
     return TYPE._replace(boot_s=30.0)
 
 
-def test_a_machine_from_a_late_hire_is_used_or_returned() -> None:
+def test_machine_of_a_late_hire_is_returned_if_there_is_no_demand() -> None:
     world = ready(machines=1)
     late = world.boot("b", False)
     world.until(lambda: late in leader(world).fleet.records, 10)
     world.run(90.0)
-    assert late not in world.workers, "nothing asks for it"
+    assert late not in world.workers, "there is no demand for it"
 
 
-def test_a_refused_place_is_left_alone_for_a_while_longer_each_time() -> None:
+def test_pause_after_a_refused_hire_grows_up_to_a_limit() -> None:
     node = leader(ready(machines=1))
-    pauses = []
+    pauses_s = []
     for _ in range(6):
         node.rental.hiring.note_refusal(("m4", "a", False))
-        pauses.append(node.rental.hiring.refused[("m4", "a", False)][0])
-    assert pauses == sorted(pauses) and pauses[0] >= 4.0 and pauses[-1] == 60.0
+        pauses_s.append(node.rental.hiring.refused[("m4", "a", False)][0])
+    assert pauses_s == sorted(pauses_s) and pauses_s[0] >= 4.0 and pauses_s[-1] == 60.0
--- a/tests/test_division_command.py
+++ b/tests/test_division_command.py
@@ -1,4 +1,4 @@
-"""The `division` commands against a real controller on loopback."""
+"""Tests the `division` commands against a real controller on loopback."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 from runcourse.entitlements.policy import Entitlements
 from runcourse.entitlements.settings import load_entitlements
 
-TEXT = '(entitlements (pool 64) (organisation (name "only") (teams "crew-0") (minimum 8)))'
+ENTITLEMENTS = '(entitlements (pool 64) (organisation (name "only") (teams "crew-0") (minimum 8)))'
 
 
-def division(tmp_path: Path, **numbers: Any) -> str:
+def write_division_file(tmp_path: Path, **limits: Any) -> str:
+    """Writes a division of one organisation with these limits and returns the file's path."""
     path = tmp_path / "division.json"
-    path.write_text(json.dumps({"organisations": [{"name": "only", **numbers}]}))
+    path.write_text(json.dumps({"organisations": [{"name": "only", **limits}]}))
     return str(path)
 
 
-def serve(tmp_path: Path, calls: list[list[str]], stated: bool = True) -> list[int]:
-    """Exit codes of command lines given one after the other to a running controller."""
+def run_commands(
+    tmp_path: Path, commands: list[list[str]], with_entitlements: bool = True
+) -> list[int]:
+    """Runs command lines one after the other against a controller; returns their exit codes."""
 
     async def run() -> list[int]:
         standins = Standins()
@@ -36,16 +39,19 @@
         settings.write_text(await standins.start(), encoding="utf-8")
         platform = load_platform(settings)
         policy = None
-        if stated:
+        if with_entitlements:
             file = tmp_path / "entitlements.sexp"
-            file.write_text(TEXT, encoding="utf-8")
+            file.write_text(ENTITLEMENTS, encoding="utf-8")
             policy = Entitlements(load_entitlements(file, platform))
         daemon = Daemon(platform, Operators(), random.Random(1), entitlements=policy)
         serving = asyncio.create_task(daemon.run())
         try:
             await asyncio.sleep(1.5)
             address = f"127.0.0.1:{standins.internal}"
-            return [await asyncio.to_thread(main, [*call, "--internal", address]) for call in calls]
+            return [
+                await asyncio.to_thread(main, [*command, "--internal", address])
+                for command in commands
+            ]
         finally:
             serving.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -56,16 +62,16 @@
     return asyncio.run(run())
 
 
-def test_a_division_is_shown_applied_and_rolled_back(
+def test_division_is_applied_rolled_back_and_shown(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    raised = division(tmp_path, minimum=16, weight=2)
+    division_file = write_division_file(tmp_path, minimum=16, weight=2)
     author = ["--author", "ops"]
-    codes = serve(
+    codes = run_commands(
         tmp_path,
         [
-            ["division", "apply", raised, "--expect", "0", "--note", "release", *author],
-            ["division", "apply", raised, "--expect", "7", *author],
+            ["division", "apply", division_file, "--expect", "0", "--note", "release", *author],
+            ["division", "apply", division_file, "--expect", "7", *author],
             ["division", "rollback", "--expect", "1", *author],
             ["division", "show", "--json"],
             ["division", "watch", "--seconds", "5"],
@@ -94,33 +100,33 @@
         ("{}", "'organisations' is a required property"),
     ],
 )
-def test_a_faulty_file_is_refused_before_anybody_is_asked(
+def test_invalid_division_file_is_refused_before_any_controller_is_contacted(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, reason: str
 ) -> None:
     path = tmp_path / "division.json"
     path.write_text(text)
-    call = ["division", "apply", str(path), "--expect", "0", "--internal", "127.0.0.1:1"]
-    assert main(call) == 2
+    command = ["division", "apply", str(path), "--expect", "0", "--internal", "127.0.0.1:1"]
+    assert main(command) == 2
     assert reason in capsys.readouterr().err
 
 
-def test_check_config_names_a_fault_of_the_file(
+def test_check_config_reports_error_in_entitlements_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = tmp_path / "settings.toml"
     settings.write_text(SETTINGS.format(api=1, internal=2, cloud=3, state=4), encoding="utf-8")
     file = tmp_path / "entitlements.sexp"
-    call = ["check-config", "--config", str(settings), "--entitlements", str(file)]
-    file.write_text(TEXT, encoding="utf-8")
-    assert main(call) == 0
-    file.write_text(TEXT.replace("(pool 64)", "(pool 4)"), encoding="utf-8")
-    assert main(call) == 2
+    command = ["check-config", "--config", str(settings), "--entitlements", str(file)]
+    file.write_text(ENTITLEMENTS, encoding="utf-8")
+    assert main(command) == 0
+    file.write_text(ENTITLEMENTS.replace("(pool 64)", "(pool 4)"), encoding="utf-8")
+    assert main(command) == 2
     assert "entitlements.sexp: pool: less than the minima of 8 CPUs" in capsys.readouterr().err
 
 
-def test_nobody_answers_and_no_file_is_named(
+def test_show_fails_without_a_controller_or_without_an_entitlements_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["division", "show", "--internal", "127.0.0.1:1"]) == 3
-    assert serve(tmp_path, [["division", "show"]], stated=False) == [1]
+    assert run_commands(tmp_path, [["division", "show"]], with_entitlements=False) == [1]
     assert "no entitlements file was named" in capsys.readouterr().err
--- a/tests/test_division_requests.py
+++ b/tests/test_division_requests.py
@@ -1,4 +1,5 @@
-"""Divisions changed through several controllers at once, with answers lost and members gone."""
+"""Tests division requests sent through several controllers at once, with lost answers, outages and
+controllers that restart with another version."""
 
 from __future__ import annotations
 
@@ -14,29 +15,31 @@
 from runcourse.core import types as t
 from runcourse.core.stored_values import MappingValue, OrganisationLimits
 
-EVEN = {DEALERS: 1.0, REGISTRY: 1.0}
-RAISED = {DEALERS: 1.0, REGISTRY: 3.0}
-LOWERED = {DEALERS: 3.0, REGISTRY: 1.0}
+EQUAL_WEIGHTS = {DEALERS: 1.0, REGISTRY: 1.0}
+REGISTRY_FAVOURED = {DEALERS: 1.0, REGISTRY: 3.0}
+DEALERS_FAVOURED = {DEALERS: 3.0, REGISTRY: 1.0}
 
 
-def refused(answer: t.DivisionAnswer | None) -> str:
+def refusal_reason(answer: t.DivisionAnswer | None) -> str:
+    """Asserts that the request was refused and returns the reason."""
     assert answer is not None and answer.result == "refused", answer
     return answer.reason
 
 
-def accepted(answer: t.DivisionAnswer | None) -> int:
+def accepted_version(answer: t.DivisionAnswer | None) -> int:
+    """Asserts that the request was accepted and returns the version of the division."""
     assert answer is not None and answer.result == "ok", answer
     assert answer.division is not None
     return answer.division.version
 
 
 @CLUSTER_SIZES
-def test_of_two_at_once_one_is_stored_and_the_other_told_both_versions(
+def test_concurrent_applies_store_one_and_refuse_the_other_with_both_versions(
     members: tuple[str, ...],
 ) -> None:
     world = recorded_pool(members)
     answers: list[t.DivisionAnswer] = []
-    for member, weights in (("n0", RAISED), ("n1", LOWERED)):
+    for member, weights in (("n0", REGISTRY_FAVOURED), ("n1", DEALERS_FAVOURED)):
         event = t.DivisionRequest(0, "apply", 0, limits(weights), member, "urgent")
         world.ask("user", member, event, answers.append)
     world.run(3.0)
@@ -50,13 +53,13 @@
 
 
 @CLUSTER_SIZES
-def test_a_rollback_crosses_an_apply(members: tuple[str, ...]) -> None:
+def test_concurrent_rollback_and_apply_store_exactly_one(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
-    assert accepted(world.apply(RAISED, 0)) == 1
+    assert accepted_version(world.apply(REGISTRY_FAVOURED, 0)) == 1
     answers: list[t.DivisionAnswer] = []
     for event in (
         t.DivisionRequest(0, "rollback", 1, [], "n0"),
-        t.DivisionRequest(0, "apply", 1, limits(LOWERED), "n1"),
+        t.DivisionRequest(0, "apply", 1, limits(DEALERS_FAVOURED), "n1"),
     ):
         world.ask("user", event.author, event, answers.append)
     world.run(3.0)
@@ -64,46 +67,50 @@
     assert world.version() == 2
 
 
-def test_a_rollback_restores_what_was_before_and_may_be_repeated() -> None:
+def test_rollback_restores_the_previous_division_and_may_be_repeated() -> None:
     world = recorded_pool()
-    assert "no former division" in refused(world.request("n0", "rollback", expect=0, author="x"))
-    accepted(world.apply(RAISED, 0))
+    assert "no former division" in refusal_reason(
+        world.request("n0", "rollback", expect=0, author="x")
+    )
+    accepted_version(world.apply(REGISTRY_FAVOURED, 0))
     for _ in range(2):
         answer = world.request("n1", "rollback", expect=1, author="x")
-        assert accepted(answer) == 2
+        assert accepted_version(answer) == 2
         assert answer is not None and answer.division is not None
-        assert answer.division.limits == limits(EVEN)
+        assert answer.division.limits == limits(EQUAL_WEIGHTS)
         assert answer.division.note == "rollback to version 0"
-    assert "expected 1, but version 2" in refused(
+    assert "expected 1, but version 2" in refusal_reason(
         world.request("n1", "rollback", expect=1, author="y")
     )
 
 
 @CLUSTER_SIZES
-def test_an_apply_whose_answer_is_lost_is_settled_by_asking_again(
+def test_apply_repeated_after_a_lost_answer_is_not_stored_twice(
     members: tuple[str, ...],
 ) -> None:
     world = recorded_pool(members)
     world.lost_answers = 1.0
-    answer = world.apply(RAISED, 0)
+    answer = world.apply(REGISTRY_FAVOURED, 0)
     assert answer is not None and answer.result == "unknown" and "ask again" in answer.reason
     world.lost_answers = 0.0
     world.run(3.0)
-    assert world.version() == 1, "it was carried out"
-    assert accepted(world.apply(RAISED, 0, "n0")) == 1, "it stands, and is not made twice"
-    assert "expected 0, but version 1" in refused(world.apply(LOWERED, 0, "n0"))
+    assert world.version() == 1, "the apply whose answer was lost was stored"
+    assert accepted_version(world.apply(REGISTRY_FAVOURED, 0, "n0")) == 1, (
+        "the stored version stays and is not applied twice"
+    )
+    assert "expected 0, but version 1" in refusal_reason(world.apply(DEALERS_FAVOURED, 0, "n0"))
     assert world.version() == 1
 
 
-def test_a_late_apply_loses_against_what_was_stored_meanwhile() -> None:
+def test_delayed_apply_does_not_replace_a_division_stored_meanwhile() -> None:
     world = recorded_pool()
     world.late_writes = 1.0
-    answer = world.apply(RAISED, 0)
+    answer = world.apply(REGISTRY_FAVOURED, 0)
     assert answer is not None and answer.result == "unknown"
     world.late_writes = 0.0
     stored = world.version()
     if not stored:
-        accepted(world.apply(LOWERED, 0, "n1"))
+        accepted_version(world.apply(DEALERS_FAVOURED, 0, "n1"))
     world.run(15.0)
     data = world.state.data["rc/division"][0]
     assert data["current"]["version"] == 1 and not stored
@@ -111,28 +118,28 @@
 
 
 @CLUSTER_SIZES
-def test_ten_divisions_in_a_minute_end_with_the_last(members: tuple[str, ...]) -> None:
+def test_after_ten_divisions_in_a_minute_the_last_is_reached(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     for organisation in (DEALERS, REGISTRY):
         world.submit_array(organisation, 400)
-    for n in range(10):
-        weights = RAISED if n % 2 else LOWERED
-        accepted(world.apply(weights, n, members[n % len(members)]))
+    for version in range(10):
+        weights = REGISTRY_FAVOURED if version % 2 else DEALERS_FAVOURED
+        accepted_version(world.apply(weights, version, members[version % len(members)]))
         world.run(6.0)
         world.assert_rules_hold()
     world.until(lambda: world.holdings_near(dealers=3, registry=9), 60)
-    assert len(world.state.data["rc/division"][0]["past"]) == 5, "bounded"
+    assert len(world.state.data["rc/division"][0]["past"]) == 5, "the history is bounded"
 
 
 @CLUSTER_SIZES
-def test_in_an_outage_nothing_is_promised(members: tuple[str, ...]) -> None:
+def test_apply_is_not_confirmed_during_a_state_service_outage(members: tuple[str, ...]) -> None:
     world = recorded_pool(members)
     world.state.outage(True)
-    answer = world.apply(RAISED, 0)
+    answer = world.apply(REGISTRY_FAVOURED, 0)
     assert answer is None or answer.result in ("unreachable", "unknown")
     world.state.outage(False)
     world.run(3.0)
-    accepted(world.apply(RAISED, 0))
+    accepted_version(world.apply(REGISTRY_FAVOURED, 0))
     assert world.version() == 1
 
 
@@ -145,40 +152,42 @@
         ([OrganisationLimits(DEALERS, weight=-1.0), OrganisationLimits(REGISTRY)], "weight"),
     ],
 )
-def test_a_faulty_division_is_refused_whole(entries: list[Any], reason: str) -> None:
+def test_invalid_division_is_refused_as_a_whole(entries: list[Any], reason: str) -> None:
     world = recorded_pool()
-    assert reason in refused(world.request("n1", "apply", expect=0, limits=entries))
-    assert reason in refused(world.request("n1", "preview", limits=entries))
+    assert reason in refusal_reason(world.request("n1", "apply", expect=0, limits=entries))
+    assert reason in refusal_reason(world.request("n1", "preview", limits=entries))
     assert "rc/division" not in world.state.data
 
 
-def test_what_a_smaller_state_service_cannot_hold_is_refused() -> None:
+def test_division_larger_than_a_stored_value_is_refused() -> None:
     world = recorded_pool()
     note = "x" * world.nodes["n0"].context.limits.value_bytes  # type: ignore[union-attr]
-    assert "more than a stored value" in refused(world.apply(RAISED, 0, note=note))
+    assert "more than a stored value" in refusal_reason(
+        world.apply(REGISTRY_FAVOURED, 0, note=note)
+    )
     assert "rc/division" not in world.state.data
 
 
-def test_a_preview_tells_the_leaders_targets_and_stores_nothing() -> None:
+def test_preview_returns_the_leaders_targets_and_stores_nothing() -> None:
     world = recorded_pool()
     for organisation in (DEALERS, REGISTRY):
         world.submit_array(organisation, 400)
     world.run(5.0)
-    answer = world.request(world.leader().context.me, "preview", limits=limits(RAISED))
+    answer = world.request(world.leader().context.me, "preview", limits=limits(REGISTRY_FAVOURED))
     assert answer is not None and answer.targets == {DEALERS: 12.0, REGISTRY: 36.0}
     assert "rc/division" not in world.state.data
 
 
-def test_a_store_that_was_dealt_without_organisations_goes_on_as_without_the_file() -> None:
-    plain = World(machines=12, cpus_max=400.0)
-    plain.run(4.0)
+def test_entitlements_stay_off_if_the_stored_mapping_was_made_without_organisations() -> None:
+    world_without_file = World(machines=12, cpus_max=400.0)
+    world_without_file.run(4.0)
     world = PoolWorld(machines=12)
-    dealt = plain.state.data["rc/mapping"]
-    world.state.data = {"rc/mapping": dealt}
-    world.state.log = [("rc/mapping", dealt[0], dealt[1])]
-    world.state.epoch = dealt[1]
+    stored_mapping = world_without_file.state.data["rc/mapping"]
+    world.state.data = {"rc/mapping": stored_mapping}
+    world.state.log = [("rc/mapping", stored_mapping[0], stored_mapping[1])]
+    world.state.epoch = stored_mapping[1]
     world.run(6.0)
-    reason = refused(world.apply(RAISED, 0))
+    reason = refusal_reason(world.apply(REGISTRY_FAVOURED, 0))
     assert "dealt without organisations; share 0: team-0 of dealers; team-3 of registry" in reason
     assert "rc/division" not in world.state.data
     node = world.nodes["n0"]
@@ -187,24 +196,28 @@
     world.submit_array(REGISTRY, 40)
     world.run(30.0)
     world.assert_rules_hold()
-    assert world.finished, "it serves"
+    assert world.finished, "the service runs tasks without entitlements"
 
 
-def test_a_file_that_names_others_than_the_division_is_not_in_force() -> None:
+def test_file_with_other_organisations_than_the_stored_division_is_not_in_force() -> None:
     world = recorded_pool()
-    accepted(world.apply(RAISED, 0))
-    first = settings()
-    renamed = tuple(msgspec.structs.replace(o, name=o.name + "-new") for o in first.organisations)
-    world.entitlements = msgspec.structs.replace(first, organisations=renamed)
+    accepted_version(world.apply(REGISTRY_FAVOURED, 0))
+    original = settings()
+    renamed = tuple(
+        msgspec.structs.replace(o, name=o.name + "-new") for o in original.organisations
+    )
+    world.entitlements = msgspec.structs.replace(original, organisations=renamed)
     restart_as(world, "n0", 0.5, new=True)
     world.run(5.0)
-    reason = refused(world.request("n0", "show"))
+    reason = refusal_reason(world.request("n0", "show"))
     assert "the stored division names dealers, registry, the file dealers-new" in reason
 
 
 @needs_production_history
 @CLUSTER_SIZES
-def test_no_division_is_stored_before_everybody_reads_it(members: tuple[str, ...]) -> None:
+def test_no_division_is_stored_before_every_controller_can_read_it(
+    members: tuple[str, ...],
+) -> None:
     world = PoolWorld(members)
     world.crash("n0")
     world.production_members.add("n0")
@@ -212,30 +225,30 @@
     world.start("n0")
     world.run(5.0)
     world.assert_rules_hold()
-    assert "not every controller is known to read divisions: ['n0']" in refused(
-        world.apply(RAISED, 0, "n1")
+    assert "not every controller is known to read divisions: ['n0']" in refusal_reason(
+        world.apply(REGISTRY_FAVOURED, 0, "n1")
     )
     assert "rc/division" not in world.state.data
     restart_as(world, "n0", 0.5, new=True)
     world.run(8.0)
-    assert accepted(world.apply(RAISED, 0, "n1")) == 1
+    assert accepted_version(world.apply(REGISTRY_FAVOURED, 0, "n1")) == 1
 
 
 @needs_production_history
 @CLUSTER_SIZES
-def test_a_member_of_the_version_in_production_comes_back_in_the_middle(
+def test_controller_restarts_with_the_production_version_after_an_apply(
     members: tuple[str, ...],
 ) -> None:
     world = contended_pool(members)
-    accepted(world.apply(RAISED, 0, "n1"))
+    accepted_version(world.apply(REGISTRY_FAVOURED, 0, "n1"))
     world.production_members.add("n0")
     restart_as(world, "n0", 1.0, new=False)
     world.run(6.0)
-    former = world.nodes["n0"]
-    assert former is not None and "n0" in world.production_members
+    restarted = world.nodes["n0"]
+    assert restarted is not None and "n0" in world.production_members
     for team in ("team-0", "team-1", "team-2", "team-3"):
-        assert former.shares.of_team(team) == world.nodes["n1"].shares.of_team(team)  # type: ignore
-    for _ in range(15):  # it may lead, and then divides as its version does
+        assert restarted.shares.of_team(team) == world.nodes["n1"].shares.of_team(team)  # type: ignore
+    for _ in range(15):  # n0 may lead, and then divides as its version does
         world.run(2.0)
         world.assert_rules_hold()
     restart_as(world, "n0", 1.0, new=True)
@@ -246,21 +259,21 @@
 
 @needs_pre_division_history
 @CLUSTER_SIZES
-def test_a_member_of_the_version_before_comes_back_in_the_middle(
+def test_each_controller_restarts_with_the_earlier_version_after_an_apply(
     members: tuple[str, ...],
 ) -> None:
     world = contended_pool(members)
-    accepted(world.apply(RAISED, 0, "n1"))
+    accepted_version(world.apply(REGISTRY_FAVOURED, 0, "n1"))
     for member in members:
         world.pre_division_members.add(member)
         restart_as(world, member, 1.0, new=False)
         world.run(12.0)
         world.assert_rules_hold()
-        known = world.nodes["n0" if member != "n0" else "n1"]
-        came = world.nodes[member]
-        assert known is not None and came is not None
+        other = world.nodes["n0" if member != "n0" else "n1"]
+        restarted = world.nodes[member]
+        assert other is not None and restarted is not None
         for team in ("team-0", "team-1", "team-2", "team-3"):
-            assert came.shares.of_team(team) == known.shares.of_team(team)  # type: ignore
+            assert restarted.shares.of_team(team) == other.shares.of_team(team)  # type: ignore
         world.pre_division_members.clear()
         restart_as(world, member, 1.0, new=True)
         world.run(4.0)
@@ -268,7 +281,7 @@
     world.assert_rules_hold()
 
 
-def test_the_dealing_is_read_by_every_version_alike() -> None:
+def test_share_of_each_team_follows_its_position_in_the_stored_mapping() -> None:
     world = recorded_pool()
     stored = msgspec.convert(world.state.data["rc/mapping"][0], MappingValue)
     shares = {name: n % 3 for n, name in enumerate(stored.dealt) if name}
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -1,4 +1,4 @@
-"""Without an entitlements file the service decides as the version before did."""
+"""Tests that without an entitlements file the service decides as the previous version does."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 from runcourse.core.stored_values import LIVE
 
-STEPS = 25
+STEPS = 25  # random actions per scenario
 
 
-def played(seed: int, before_divisions: bool) -> dict[str, Any]:
-    """What came of a long random story, and how far the random numbers were drawn."""
+def run_random_scenario(seed: int, before_divisions: bool) -> dict[str, Any]:
+    """Returns the results of a long random scenario and the states of its random generators."""
     members = (MEMBERS, FIVE_MEMBERS)[seed % 2]
     world = World(
         seed=seed, machines=9, members=members, before_divisions=before_divisions, cpus_max=24.0
     )
     world.run(3.0)
-    plot = random.Random(seed)
+    scenario_rng = random.Random(seed)
     for number in range(STEPS):
-        action = "submit" if number % 3 == 0 else plot.choice(ACTIONS)
-        run_action(world, action, plot.randrange(40), number)
-        world.run(plot.uniform(0.05, 4.0))
+        action = "submit" if number % 3 == 0 else scenario_rng.choice(ACTIONS)
+        run_action(world, action, scenario_rng.randrange(40), number)
+        world.run(scenario_rng.uniform(0.05, 4.0))
     world.run(20.0)
     assert not world.violations
     return {
@@ -44,8 +44,8 @@
 
 @needs_pre_division_history
 @pytest.mark.parametrize("seed", range(12))
-def test_the_same_decisions_in_the_same_order_of_draws(seed: int) -> None:
-    now, before = played(seed, False), played(seed, True)
-    for what in now:
-        assert now[what] == before[what], what
-    assert len(now["starts"]) > STEPS / 5
+def test_decisions_and_random_draws_equal_those_of_the_previous_version(seed: int) -> None:
+    present, previous = run_random_scenario(seed, False), run_random_scenario(seed, True)
+    for key in present:
+        assert present[key] == previous[key], key
+    assert len(present["starts"]) > STEPS / 5
--- a/tests/test_fairshare.py
+++ b/tests/test_fairshare.py
@@ -1,4 +1,4 @@
-"""The weighted max-min division, over random claims."""
+"""Tests the weighted max-min allocation on random claims and on known examples."""
 
 from __future__ import annotations
 
@@ -14,20 +14,23 @@
 
 
 @st.composite
-def claim(draw: st.DrawFn, name: str) -> Claim:
+def random_claim(draw: st.DrawFn, name: str) -> Claim:
+    """Draws one claim with random demand, limits and weight."""
     minimum = draw(amounts)
-    maximum = draw(st.none() | amounts.map(lambda more: minimum + more))
+    maximum = draw(st.none() | amounts.map(lambda extra: minimum + extra))
     weight = draw(st.floats(0.01, 100.0, allow_nan=False))
     return Claim(name, draw(amounts), minimum, weight, maximum)
 
 
 @st.composite
-def several(draw: st.DrawFn) -> list[Claim]:
-    return [draw(claim(f"org-{n}")) for n in range(draw(st.integers(1, 6)))]
+def random_claims(draw: st.DrawFn) -> list[Claim]:
+    """Draws one to six claims."""
+    return [draw(random_claim(f"org-{n}")) for n in range(draw(st.integers(1, 6)))]
 
 
+# Hypothesis derives the random seed from the name and the source of this test.
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
-@given(amounts, several(), st.randoms(use_true_random=False))
+@given(amounts, random_claims(), st.randoms(use_true_random=False))
 def test_the_division_is_max_min_fair(capacity: float, claims: list[Claim], random: object) -> None:
     given_ = allocate(capacity, claims)
     whole = Fraction(capacity)
@@ -39,7 +42,7 @@
             assert given_[c.name] >= c.floor, "minima are met where capacity allows"
     asking = [c for c in claims if given_[c.name] < c.ceiling]
     assert sum(given_.values()) == (whole if asking else sum(c.ceiling for c in claims))
-    # Nobody has more for its weight than one that asks for more, unless by its minimum.
+    # No claim has more per weight than one below its ceiling, except by a minimum.
     for poor in asking:
         for rich in claims:
             level = given_[poor.name] / Fraction(poor.weight)
@@ -65,5 +68,5 @@
         (0, [Claim("a", 100), Claim("b", 0)], {"a": 0, "b": 0}),
     ],
 )
-def test_known_divisions(capacity: float, claims: list[Claim], expected: dict[str, int]) -> None:
+def test_known_allocations(capacity: float, claims: list[Claim], expected: dict[str, int]) -> None:
     assert allocate(capacity, claims) == expected
--- a/tests/test_locality_settings.py
+++ b/tests/test_locality_settings.py
@@ -1,4 +1,4 @@
-"""The locality file: what is taken, what is refused with file, field and reason, and reloading."""
+"""Tests the locality file: valid and invalid settings, the reported errors, and reloading."""
 
 import asyncio
 import os
@@ -26,23 +26,23 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SOURCE = '(source (name "p") (zones "a" "b") (teams "team-0") (read-gb 4) (local-rate 1.0)'
-FINE = f"(locality (weight 2.5) (dry-run true) {SOURCE} (remote-rate 0.1)))"
+VALID_FILE = f"(locality (weight 2.5) (dry-run true) {SOURCE} (remote-rate 0.1)))"
 
 
-def write(folder: Path, text: str) -> Path:
+def write_file(folder: Path, text: str) -> Path:
     path = folder / "locality.sexp"
     path.write_text(text, encoding="utf-8")
     return path
 
 
-def test_a_good_file_is_read_with_its_defaults(tmp_path: Path) -> None:
-    settings = load_locality(write(tmp_path, FINE), platform("n0"))
+def test_valid_file_is_read_with_defaults(tmp_path: Path) -> None:
+    settings = load_locality(write_file(tmp_path, VALID_FILE), platform("n0"))
     assert settings.weight == 2.5 and settings.dry_run and settings.rebalance
     (source,) = settings.sources
     assert source.zones == ("a", "b") and source.read_gb == 4 and source.classes == ()
 
 
-def test_the_file_that_is_shipped_is_good() -> None:
+def test_shipped_file_is_valid() -> None:
     shipped = Path(__file__).resolve().parent.parent / "deploy" / "locality.sexp"
     assert not load_locality(shipped, platform("n0")).sources
 
@@ -62,12 +62,12 @@
         (f"(locality {SOURCE}))", "source[0]", "remote-rate"),
         (f"(locality {SOURCE} (remote-rate 0)))", "source[0].remote-rate", "> 0"),
         (f"(locality {SOURCE} (remote-rate 1) (read-gb 2)))", "source[0].read-gb", "given twice"),
-        (FINE.replace("(read-gb 4)", "(read-gb -4)"), "source[0].read-gb", ">= 0"),
-        (FINE.replace('"b"', '"z"'), "source[0].zones", "unknown zone 'z'"),
-        (FINE.replace('"b"', '"a"'), "source[0].zones", "'a' is listed twice"),
-        (FINE.replace('"team-0"', '"team-9"'), "source[0].teams", "unknown team 'team-9'"),
-        (FINE.replace('"team-0"', '"team-0" "team-0"'), "source[0].teams", "listed twice"),
-        (FINE.replace('(teams "team-0")', ""), "source[0].teams", "nobody reads it"),
+        (VALID_FILE.replace("(read-gb 4)", "(read-gb -4)"), "source[0].read-gb", ">= 0"),
+        (VALID_FILE.replace('"b"', '"z"'), "source[0].zones", "unknown zone 'z'"),
+        (VALID_FILE.replace('"b"', '"a"'), "source[0].zones", "'a' is listed twice"),
+        (VALID_FILE.replace('"team-0"', '"team-9"'), "source[0].teams", "unknown team 'team-9'"),
+        (VALID_FILE.replace('"team-0"', '"team-0" "team-0"'), "source[0].teams", "listed twice"),
+        (VALID_FILE.replace('(teams "team-0")', ""), "source[0].teams", "nobody reads it"),
         (
             f"(locality {SOURCE} (remote-rate 1)) {SOURCE} (remote-rate 1)))",
             "source",
@@ -75,10 +75,10 @@
         ),
     ],
 )
-def test_a_faulty_file_is_named_with_field_and_reason(
+def test_error_in_a_file_names_file_field_and_reason(
     tmp_path: Path, text: str, field: str, reason: str
 ) -> None:
-    path = write(tmp_path, text)
+    path = write_file(tmp_path, text)
     with pytest.raises(SettingsError) as caught:
         load_locality(path, platform("n0"))
     message = str(caught.value)
@@ -86,27 +86,27 @@
     assert field.replace("-", "_") in message.replace("-", "_")
 
 
-def test_the_command_line_checks_it_too(tmp_path: Path, capsys: Any) -> None:
+def test_check_config_reports_an_invalid_locality_file(tmp_path: Path, capsys: Any) -> None:
     config = tmp_path / "s.toml"
     config.write_text(GOOD, encoding="utf-8")
-    base = ["check-config", "--config", str(config), "--locality"]
-    assert main([*base, str(write(tmp_path, "(locality (weight 1))"))]) == 0
-    assert main([*base, str(write(tmp_path, "(locality (weight x))"))]) == 2
+    command = ["check-config", "--config", str(config), "--locality"]
+    assert main([*command, str(write_file(tmp_path, "(locality (weight 1))"))]) == 0
+    assert main([*command, str(write_file(tmp_path, "(locality (weight x))"))]) == 2
     assert "locality.sexp: weight:" in capsys.readouterr().err
 
 
-def test_a_faulty_new_file_leaves_the_old_one_in_force(tmp_path: Path) -> None:
-    path = write(tmp_path, FINE)
+def test_invalid_new_file_leaves_the_old_settings_in_force(tmp_path: Path) -> None:
+    path = write_file(tmp_path, VALID_FILE)
     file = PolicyFile(path, platform("n0"))
     policy = file.make()
-    write(tmp_path, FINE.replace("2.5", "nothing"))
+    write_file(tmp_path, VALID_FILE.replace("2.5", "nothing"))
     with pytest.raises(SettingsError):
         file.load()
     assert policy.active and msgspec.structs.asdict(file.settings)["weight"] == 2.5
 
 
-def test_a_running_controller_reads_the_file_again(tmp_path: Path) -> None:
-    path = write(tmp_path, FINE.replace("team-0", "crew-0"))
+def test_running_controller_reloads_the_file(tmp_path: Path) -> None:
+    path = write_file(tmp_path, VALID_FILE.replace("team-0", "crew-0"))
 
     async def main() -> None:
         standins = Standins()
@@ -119,12 +119,12 @@
         policy: Any = daemon.node.policy
         try:
             async with asyncio.timeout(10):
-                while not daemon.node.fleet.types:  # it serves, and hears signals
+                while not daemon.node.fleet.types:  # then it serves and handles signals
                     await asyncio.sleep(0.02)
                 path.write_text("(locality (weight 0.5))", encoding="utf-8")
                 if threading.current_thread() is threading.main_thread():
                     os.kill(os.getpid(), signal.SIGHUP)
-                else:  # signals are the main thread's
+                else:  # only the main thread handles signals
                     daemon.reload()
                 while policy.settings.weight != 0.5:
                     await asyncio.sleep(0.02)
@@ -144,7 +144,7 @@
     asyncio.run(main())
 
 
-def test_without_a_file_there_is_nothing_to_reload(tmp_path: Path) -> None:
+def test_reload_without_a_file_returns_an_error(tmp_path: Path) -> None:
     async def main() -> None:
         standins = Standins()
         config = tmp_path / "settings.toml"
@@ -156,12 +156,12 @@
     asyncio.run(main())
 
 
-def test_nothing_of_it_is_imported_unless_a_file_is_named() -> None:
+def test_locality_modules_are_not_imported_without_a_file() -> None:
     code = (
         "import runcourse.daemon, sys;"
         "print([m for m in sys.modules if 'ddsketch' in m or 'locality' in m])"
     )
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT
     )
-    assert ended.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
