--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -5,7 +5,7 @@
 
 import pytest
 from test_failures import ready
-from test_guards import owner_of_some
+from test_guards import owner_and_machine
 from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
 from runcourse.core import types as t
@@ -178,7 +178,7 @@
 
 
 def test_a_flood_of_short_tasks_is_not_hired_for_one_machine_each() -> None:
-    node = owner_of_some(ready(machines=6))[0]
+    node = owner_and_machine(ready(machines=6))[0]
     needed = node.scheduler.tasks_needing_machines
     short = Job(spec("j-000500", tasks=25_000, estimate_s=4.0), Stamp(1))
     assert needed(short, 25_000) == 1667 and needed(short, 1) == 1
@@ -190,7 +190,7 @@
 def test_a_crowded_machine_gets_no_more_and_is_commanded_less_often() -> None:
     world = World(machines=6, cpus_max=1000.0)
     world.run(4.0)
-    node, machine = owner_of_some(world)
+    node, machine = owner_and_machine(world)
     job = Job(spec("j-000510", tasks=2000, cpus=0.01, memory=0.01), Stamp(1))
     for n in range(MAX_LISTED_TASKS):
         node.fleet.placements.place(job, n, machine, machine.share.next_attempt())
@@ -215,7 +215,7 @@
 
 
 def test_one_team_s_flood_leaves_room_for_the_submissions_of_others() -> None:
-    node = owner_of_some(ready())[0]
+    node = owner_and_machine(ready())[0]
     flooded = answered = 0
     for n in range(400):
         team, request = ("team-1", 10_000) if n % 20 == 19 else ("team-0", 0)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,7 +19,7 @@
     return [p for m in node.fleet.of_share(share) for p in m.placements.values()]
 
 
-def owner_of_some(world: World) -> tuple[Node, Machine]:
+def owner_and_machine(world: World) -> tuple[Node, Machine]:
     node = next(n for n in world.nodes.values() if n is not None and n.fleet.machines)
     return node, next(iter(node.fleet.machines.values()))
 
@@ -40,7 +40,7 @@
 
 
 def test_an_older_message_changes_nothing() -> None:
-    node, machine = owner_of_some(ready())
+    node, machine = owner_and_machine(ready())
     task = TaskId(spec("j-000001").uid, 0)  # type: ignore[arg-type]
     running = t.TaskReport(task, Attempt(7), "running")
     assert node.fleet.reports.apply(message(machine, machine.session, machine.seq + 5, running))
@@ -51,7 +51,7 @@
 
 
 def test_an_order_of_unknown_fate_raises_the_token() -> None:
-    node, machine = owner_of_some(ready())
+    node, machine = owner_and_machine(ready())
     job = Job(spec("j-000002"), 1)  # type: ignore[arg-type]
     node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     before = machine.token
@@ -69,7 +69,7 @@
 
 
 def test_a_finish_is_cleared_only_once_it_is_stored() -> None:
-    node, machine = owner_of_some(ready())
+    node, machine = owner_and_machine(ready())
     job = node.jobs.apply_job(
         "j-000003",
         job_value(spec("j-000003"), "accepted"),
@@ -197,7 +197,7 @@
 
 
 def test_one_failure_amid_successes_is_no_reason_to_grant() -> None:
-    node = owner_of_some(ready())[0]
+    node = owner_and_machine(ready())[0]
     other = next(m for m in node.context.members if m != node.context.me)
     incarnation = node.authority.live_incarnation(other)
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -7,7 +7,7 @@
 from mixed_versions import needs_production_history
 from test_cloud import leader
 from test_failures import ready
-from test_guards import owner_of_some
+from test_guards import owner_and_machine
 from test_sockets import BEAT, serve
 from world import World, platform, spec
 
@@ -63,7 +63,7 @@
 
 def test_nothing_starts_whose_attempt_another_owner_may_use() -> None:
     """A number carried into a revision that is not taken yet might be the next owner's."""
-    node, machine = owner_of_some(ready())
+    node, machine = owner_and_machine(ready())
     holding = machine.share
     holding._attempts = (int(node.store.applied - holding.epoch) + 1 << COUNTER_BITS) - 1
     job = Job(spec("j-000001", tasks=1), Stamp(holding.epoch + 1))
@@ -196,7 +196,7 @@
 
 def test_returning_a_fleet_leaves_room_for_users_and_machines_for_work() -> None:
     world = ready(machines=60)
-    node = owner_of_some(world)[0]
+    node = owner_and_machine(world)[0]
     machines = list(node.fleet.machines.values())
     writes = node.store._write_budget
     writes.rate, writes.level, writes.at = 8.0, 0.0, node.context.now
@@ -254,7 +254,7 @@
 
 def test_unstored_finishes_are_looked_at_when_they_are_due() -> None:
     """Each input went through every job with a finished task."""
-    node, machine = owner_of_some(ready())
+    node, machine = owner_and_machine(ready())
     finishes, share = node.scheduler.finishes, machine.share.number
     asked: list[JobId] = []
     finishes.store_finished = lambda work, complete: asked.append(work.job.uid)  # type: ignore[method-assign]
@@ -278,7 +278,7 @@
 
 def test_finishes_of_many_jobs_leave_changes_to_others() -> None:
     """Each of hundreds of arrays stored a change a second: more than the state service takes."""
-    node, machine = owner_of_some(ready())
+    node, machine = owner_and_machine(ready())
     finishes, now = node.scheduler.finishes, node.context.now
     node.store._write_budget.rate = 20.0
     assert finishes._gap_s() == FLUSH_GAP_S
@@ -298,7 +298,7 @@
 def test_machines_that_are_emptied_are_looked_at_one_at_a_time() -> None:
     """With hundreds of them, each tick looked for a place on every machine for each: a controller
     of 2,000 machines did nothing else. Found by a measurement at 4,000."""
-    node, _ = owner_of_some(ready(machines=12))
+    node, _ = owner_and_machine(ready(machines=12))
     draining, looks = node.scheduler.draining, []
     draining._relocate_replicas = lambda machine: looks.append(machine.id)  # type: ignore[method-assign]
     machines = list(node.fleet.machines.values())[:3]
@@ -411,7 +411,7 @@
 def test_suspected_machines_that_wait_for_a_connection_are_not_looked_at_each_time() -> None:
     """After a takeover each input went through all machines that could not be told yet."""
     world = ready(machines=12)
-    node, _ = owner_of_some(world)
+    node, _ = owner_and_machine(world)
     commands = node.fleet.commands
     commands._max_open = 2
     for machine in node.fleet.machines.values():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 from test_failures import ready
-from test_guards import owner_of_some
+from test_guards import owner_and_machine
 from world import World
 
 from runcourse.config import Quota
@@ -132,7 +132,7 @@
     """All machines suspected at once, as after a restart of everything: the suspected ones take no
     more than half of the commands there may be, and all are told in the end."""
     world: World = ready(machines=12)
-    node, _ = owner_of_some(world)
+    node, _ = owner_and_machine(world)
     fleet = node.fleet
     fleet.commands._max_open = 4
     machines = list(fleet.machines.values())
