--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,5 @@
-"""One test for each failure found on the bench. What it guards against is said at the code."""
+"""One regression test for each failure found in benchmark runs; the code under test gives the
+reason for each guard."""
 
 from typing import Any
 
@@ -15,12 +16,14 @@
 
 
 def ready(**settings: Any) -> World:
+    """Returns a world that has run for 4 s, after its nodes have started."""
     world = World(**settings)
     world.run(4.0)
     return world
 
 
 def bare_machine(id: str = "i-1") -> Machine:
+    """Returns a machine of type m4 in share 0 without tasks or reports."""
     record = Record(ShareNo(0), "m4", "a", False, False, 5)  # type: ignore[arg-type]
     machine = Machine(
         id,
@@ -40,7 +43,7 @@
     return Context(platform("n0"), Operators(), random.Random(1))
 
 
-def test_a_machine_that_comes_up_empty_wakes_the_scheduler() -> None:
+def test_empty_machine_that_comes_up_triggers_scheduling() -> None:
     world = World(machines=0)
     world.capacity = 3
     world.run(3.0)
@@ -48,11 +51,12 @@
     world.until(lambda: world.poll("j-000001") == "done", 25)
 
 
-def test_moved_machines_are_not_taken_for_late_boots() -> None:
-    """They were returned at once, since their new owner had never heard them."""
+def test_transferred_machines_are_not_returned_as_late_boots() -> None:
+    """Transferred machines were returned at once, since their new owner had not received a report
+    from them."""
     world = ready(machines=6)
     before = set(world.workers)
-    world.run(30.0)  # far beyond any boot
+    world.run(30.0)  # longer than any boot takes
     for n in range(4):
         world.submit(spec(f"j-00000{n}", tasks=6, team=f"team-{n}", estimate_s=4.0))
         world.run(1.0)
@@ -61,7 +65,7 @@
     assert before <= set(world.workers), "a machine in use was returned"
 
 
-def test_a_restarted_owner_does_not_return_the_machines_it_has_not_heard_yet() -> None:
+def test_restarted_owner_keeps_machines_that_have_not_reported_yet() -> None:
     world = ready(machines=5)
     for n in range(3):
         world.submit(spec(f"j-00001{n}", service=True, tasks=1, team=f"team-{n}"))
@@ -74,36 +78,36 @@
     assert held <= set(world.workers)
 
 
-def test_a_guarantee_stops_no_higher_rank_and_no_replica_for_an_array() -> None:
+def test_guarantee_preempts_no_higher_rank_and_no_replica_for_an_array() -> None:
     quota = Quota(context())
     array = Job(spec("j-000001", rank=1, team="team-1"), 1)  # type: ignore[arg-type]
     replica = Job(spec("j-000002", rank=0, service=True), 1)  # type: ignore[arg-type]
-    equal = Job(spec("j-000003", rank=1, service=True), 1)  # type: ignore[arg-type]
-    lesser = Job(spec("j-000004", rank=2), 1)  # type: ignore[arg-type]
+    equal_rank_replica = Job(spec("j-000003", rank=1, service=True), 1)  # type: ignore[arg-type]
+    lower_rank = Job(spec("j-000004", rank=2), 1)  # type: ignore[arg-type]
     machine = bare_machine()
 
-    def held(job: Job, n: int = 0) -> Placement:
+    def add_placement(job: Job, n: int = 0) -> Placement:
         placement = Placement((job.uid, n), 1, machine, job, Instant(0.0))  # type: ignore[arg-type]
         quota.add(placement)
         return placement
 
-    victims = [held(replica, 0), held(replica, 1), held(replica, 2)]
+    victims = [add_placement(replica, 0), add_placement(replica, 1), add_placement(replica, 2)]
     assert not any(quota.may_preempt(array, True, v) for v in victims)
-    assert not quota.may_preempt(array, True, held(equal))
-    assert quota.may_preempt(array, False, held(lesser))
+    assert not quota.may_preempt(array, True, add_placement(equal_rank_replica))
+    assert quota.may_preempt(array, False, add_placement(lower_rank))
 
 
-def test_borrowed_room_is_given_back_but_no_team_falls_below_its_guarantee() -> None:
+def test_borrowed_room_is_reclaimed_but_no_team_falls_below_its_guarantee() -> None:
     quota = Quota(context())  # a guarantee of 4 CPUs each
     waiting = Job(spec("j-000001", rank=1, team="team-1"), 1)  # type: ignore[arg-type]
-    other = Job(spec("j-000002", rank=1, team="team-0", tasks=3), 1)  # type: ignore[arg-type]
+    borrowing = Job(spec("j-000002", rank=1, team="team-0", tasks=3), 1)  # type: ignore[arg-type]
     machine = bare_machine()
     placements = [
         Placement(
-            (other.uid, n),
+            (borrowing.uid, n),
             1,
             machine,
-            other,  # type: ignore[arg-type]
+            borrowing,  # type: ignore[arg-type]
             Instant(0.0),
         )
         for n in range(3)
@@ -113,12 +117,12 @@
     assert quota.may_preempt(waiting, True, placements[0])
     assert not quota.may_preempt(waiting, False, placements[0])
     assert not quota.may_preempt(waiting, True, placements[1], stopping=Size(2, 4)), (
-        "with 2 CPUs being stopped already the team is down to its guarantee"
+        "with 2 CPUs already being stopped, the team is down to its guarantee"
     )
     assert quota.guaranteed_count(waiting) == 2
 
 
-def test_two_teams_do_not_stop_each_other_in_turn() -> None:
+def test_two_teams_do_not_preempt_each_other_in_turn() -> None:
     world = ready(machines=2, cpus_max=100.0)
     for n in range(2):
         world.submit(spec(f"j-00002{n}", tasks=6, team=f"team-{n}", estimate_s=30.0))
@@ -126,8 +130,9 @@
     assert len(world.starts) <= 12, f"{len(world.starts)} starts of 12 tasks"
 
 
-def test_fetches_under_way_share_the_rate() -> None:
-    """A replica once waited 113 s on a machine that fetched nine images."""
+def test_concurrent_image_fetches_share_the_rate() -> None:
+    """Guards against fetch estimates that ignore other fetches: a replica waited 113 s on a machine
+    that was fetching nine images."""
     machine = bare_machine()
     job = Job(spec("j-000001", image="one", image_gb=1.0), 1)  # type: ignore[arg-type]
     other = Job(spec("j-000002", image="two", image_gb=3.0), 1)  # type: ignore[arg-type]
@@ -143,7 +148,7 @@
     assert fetch_s(job, machine) == 0.0
 
 
-def test_a_job_that_will_be_late_anyway_goes_last_unless_begun() -> None:
+def test_job_certain_to_miss_its_deadline_goes_last_unless_begun() -> None:
     from runcourse.config import Objective
 
     world = ready()
@@ -156,20 +161,20 @@
     )
     now = node.context.now
 
-    def work(uid: str, due: float) -> Work:
-        job = Job(spec(uid, deadline_s=due, estimate_s=10.0, team="team-0"), 1)  # type: ignore[arg-type]
+    def work(uid: str, due_s: float) -> Work:
+        job = Job(spec(uid, deadline_s=due_s, estimate_s=10.0, team="team-0"), 1)  # type: ignore[arg-type]
         job.submitted = now
         return Work(job, ShareNo(0))
 
-    late, later, fine = work("j-000001", 5.0), work("j-000002", 8.0), work("j-000003", 60.0)
-    order = sorted([late, later, fine], key=scheduler.order.urgency)
+    late, late_too, on_time = work("j-000001", 5.0), work("j-000002", 8.0), work("j-000003", 60.0)
+    order = sorted([late, late_too, on_time], key=scheduler.order.urgency)
     assert [w.job.uid for w in order] == ["j-000003", "j-000002", "j-000001"]
     late.unstored_done_bits = 1
-    assert min([late, later, fine], key=scheduler.order.urgency) is late
+    assert min([late, late_too, on_time], key=scheduler.order.urgency) is late
 
 
-def test_workers_that_their_owner_does_not_hear_are_relayed() -> None:
-    """In a partition a worker lost its lease while it tried its owner twice."""
+def test_reports_that_cannot_reach_the_owner_are_relayed() -> None:
+    """In a network partition a worker lost its lease while it tried twice to reach its owner."""
     world = ready(machines=3, lease_s=12.0)
     for n in range(3):
         world.submit(spec(f"j-00003{n}", service=True, tasks=1, team=f"team-{n}"))
@@ -186,7 +191,7 @@
     assert not world.violations
 
 
-def test_surplus_machines_are_emptied_and_returned() -> None:
+def test_surplus_machines_are_drained_and_returned() -> None:
     world = World(machines=6, cpus_max=100.0)
     world.run(4.0)
     for n in range(8):
@@ -199,7 +204,7 @@
     assert len(world.on_machines()) == 2 and not world.violations
 
 
-def test_spread_gets_a_machine_in_another_zone() -> None:
+def test_spread_job_gets_a_machine_in_another_zone() -> None:
     world = World(machines=1)
     world.run(4.0)
     world.capacity = 4
@@ -209,8 +214,8 @@
     assert not world.violations
 
 
-def test_an_attempt_is_not_cleared_while_an_order_of_unknown_fate_is_out() -> None:
-    """After `clear` a worker starts a repeated order anew."""
+def test_attempt_is_not_forgotten_while_an_order_has_an_unknown_outcome() -> None:
+    """After `clear` (a forget order), a worker runs a repeated start order again."""
     world = ready()
     world.submit(spec("j-000060", tasks=1, estimate_s=0.5))
     world.until(lambda: world.poll("j-000060") == "done", 10)
@@ -221,19 +226,19 @@
     placement.stage, placement.cause, placement.seen = "ended", "stopped", True
     machine.placements[(placement.task, placement.attempt)] = placement
 
-    def cleared() -> bool:
+    def forget_is_ordered() -> bool:
         return any(o.op == "forget" for o in node.fleet.commands.orders(machine, answering=True))
 
-    assert cleared()
+    assert forget_is_ordered()
     assert not any(o.op == "forget" for o in node.fleet.commands.orders(machine, answering=False))
     machine.command_in_flight = True
-    assert not cleared()
+    assert not forget_is_ordered()
     machine.command_in_flight = False
     machine.mark_suspected(world.now)  # type: ignore[arg-type]
-    assert not cleared()
+    assert not forget_is_ordered()
 
 
-def test_a_start_not_seen_yet_is_fenced_when_it_is_stopped() -> None:
+def test_unconfirmed_start_is_fenced_when_it_is_stopped() -> None:
     world = ready()
     node = next(n for n in world.nodes.values() if n is not None and n.fleet.machines)
     machine = next(iter(node.fleet.machines.values()))
@@ -242,14 +247,14 @@
     before = machine.token
     placement = node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     node.fleet.placements.stop(placement)
-    assert placement.fence > before, "a start under way would run under the old token"
+    assert placement.fence > before, "a start order under way would be accepted under the old token"
     assert not node.fleet.commands.orders(machine, answering=True)
     assert placement.task in node.fleet.placements.by_task, (
-        "possibly there until the new token is seen"
+        "the task may be on the machine until the new token is reported"
     )
 
 
-def test_a_notice_moves_what_will_not_end_in_time() -> None:
+def test_interruption_notice_moves_tasks_that_will_not_end_in_time() -> None:
     world = ready(machines=9)
     world.submit(spec("j-000080", tasks=1, estimate_s=30.0))
     world.submit(spec("j-000081", tasks=1, estimate_s=2.5))
@@ -260,13 +265,13 @@
         ):
             worker.notice_s = 8.0
     world.run(2.0)
-    where = {task.job: worker for task, worker in world.on_machines()}
-    assert where["j-000080"].notice_s is None, "moved to a machine that stays"
+    worker_by_job = {task.job: worker for task, worker in world.on_machines()}
+    assert worker_by_job["j-000080"].notice_s is None, "moved to a machine without a notice"
     assert len([1 for _, task, _ in world.starts if task.job == "j-000081"]) == 1
     assert not world.violations
 
 
-def test_machines_found_together_are_parted_among_the_shares() -> None:
+def test_machines_found_together_are_divided_among_the_shares() -> None:
     world = World(machines=9)
     world.run(2.0)
     node = world.nodes["n0"]
@@ -279,8 +284,9 @@
     assert counts[-1] == max(counts) > min(counts), "more teams, more machines"
 
 
-def test_a_machine_that_never_comes_up_is_returned() -> None:
-    """It was asked for again and again, and paid for: nothing had shown it to be reachable."""
+def test_machine_that_never_comes_up_is_returned() -> None:
+    """A machine that nothing had shown to be reachable was probed again and again and paid for,
+    instead of being returned."""
     world = World(machines=0)
     world.capacity = 2
     world.run(2.0)
@@ -292,8 +298,9 @@
     world.until(lambda: world.poll("j-000090") == "done", 30)
 
 
-def test_a_replica_takes_lesser_work_s_room_where_its_image_is() -> None:
-    """New replicas fetched for 5 s beside machines that held their image, full of arrays."""
+def test_replica_preempts_a_lower_rank_where_its_image_is_cached() -> None:
+    """New replicas spent 5 s fetching an image although other machines held it, because those were
+    full of array tasks."""
     from runcourse.config import Objective
 
     world = World(
@@ -304,12 +311,14 @@
         spec("j-000100", service=True, tasks=1, lane="web", rank=0, image="app", image_gb=9.0)
     )
     world.until(lambda: len(world.on_machines()) == 1, 15)
-    held = world.on_machines()[0][1].id
+    machine_with_image = world.on_machines()[0][1].id
     world.submit(spec("j-000101", tasks=1, estimate_s=60.0))
     world.until(lambda: len(world.on_machines()) == 2, 15)
-    node = next(n for n in world.nodes.values() if n is not None and held in n.fleet.machines)
-    machine = node.fleet.machines[held]  # type: ignore[index]
-    if machine.room.cpus > 1.0:  # fill it up with more of the array's kind
+    node = next(
+        n for n in world.nodes.values() if n is not None and machine_with_image in n.fleet.machines
+    )
+    machine = node.fleet.machines[machine_with_image]  # type: ignore[index]
+    if machine.room.cpus > 1.0:  # fill the machine with more array tasks
         world.submit(spec("j-000102", tasks=1, estimate_s=60.0))
         world.run(2.0)
     before = len(world.starts)
@@ -318,12 +327,12 @@
     )
     world.until(lambda: any(task.job == "j-000103" for task, _ in world.on_machines()), 10)
     start = next(s for s in world.starts[before:] if s[1].job == "j-000103")
-    assert start[2] == held and not world.violations
+    assert start[2] == machine_with_image and not world.violations
 
 
-def test_lesser_work_of_another_share_makes_way_for_a_replica() -> None:
-    """A replica waited for 63 s: its share was full, others ran arrays that never let a
-    machine fall empty, and the cloud had no more."""
+def test_lower_ranks_in_another_share_make_way_for_a_replica() -> None:
+    """A replica waited for 63 s: its share was full, the arrays of other shares never left a
+    machine empty, and the cloud had no more machines."""
     world = World(machines=3, cpus_max=100.0)
     world.run(4.0)
     for n in range(2):
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -1,4 +1,4 @@
-"""Where gangs go, and how room is made for them."""
+"""Placement of gangs, and how room is made for them."""
 
 from combined_failures import submit
 from failing_parts import CLUSTER_SIZES
@@ -10,7 +10,7 @@
 
 
 @CLUSTER_SIZES
-def test_a_gang_runs_as_a_whole_in_one_zone_with_one_attempt(members: tuple[str, ...]) -> None:
+def test_gang_runs_as_a_whole_in_one_zone_under_one_attempt(members: tuple[str, ...]) -> None:
     world = started_world(members)
     world.submit(gang())
     world.until(lambda: UID in world.running_gangs(), 5)
@@ -20,8 +20,8 @@
     assert run_count(world) == 1 and not world.violations
 
 
-def test_without_room_for_all_none_starts_and_nobody_is_kept_from_the_room() -> None:
-    world = started_world(machines=3)  # one machine a zone: two tasks each
+def test_gang_without_room_for_all_starts_no_task_and_reserves_no_room() -> None:
+    world = started_world(machines=3)  # one machine per zone, with room for two tasks
     world.submit(gang())
     world.run(3.0)
     assert not world.starts
@@ -32,7 +32,7 @@
     assert not world.violations
 
 
-def test_over_several_zones_if_the_job_allows_it() -> None:
+def test_gang_is_placed_over_several_zones_if_the_job_allows_it() -> None:
     world = started_world(machines=12)
     world.submit(gang(tasks=9, together=False, spread=True))
     world.until(lambda: UID in world.running_gangs(), 40)
@@ -40,8 +40,8 @@
     assert max(zones.count(z) for z in zones) <= 5 and not world.violations
 
 
-def test_a_set_that_its_zones_do_not_take_is_not_begun() -> None:
-    """Room enough, but half of a spread job at the most may be in one zone."""
+def test_gang_that_cannot_satisfy_its_spread_is_not_started() -> None:
+    """There is enough room, but at most half of a spread job may run in one zone."""
     world = World(machines=0, cpus_max=100.0)
     for _ in range(4):
         world.boot("a", False)
@@ -52,18 +52,18 @@
     assert not world.starts and work_of(world).wait_reason == "no room for the whole gang"
 
 
-def test_the_zone_whose_slowest_image_is_there_soonest() -> None:
+def test_gang_prefers_the_zone_where_its_last_image_is_ready_soonest() -> None:
     world = started_world(machines=15)
     world.submit(gang("j-000010", tasks=2, image="other"))
     world.until(lambda: world.poll("j-000010") == "done", 30)
     node = node_of_team(world)
-    held = {m.record.zone for m in node.fleet.machines.values() if "other" in m.images}
+    zones_with_image = {m.record.zone for m in node.fleet.machines.values() if "other" in m.images}
     world.submit(gang(tasks=2, image="other"))
     world.until(lambda: UID in world.running_gangs(), 10)
-    assert {w.zone for w in machines_of(world)} == held and not world.violations
+    assert {w.zone for w in machines_of(world)} == zones_with_image and not world.violations
 
 
-def test_a_whole_gang_keeps_to_its_team_s_limit() -> None:
+def test_whole_gang_stays_within_its_team_limit() -> None:
     world = started_world(cpus_max=8.0)
     assert world.submit(gang("j-000003", tasks=5)) == 422
     world.submit(spec("j-000004", tasks=1, team="team-1", estimate_s=5.0))
@@ -75,16 +75,16 @@
     assert not world.violations
 
 
-def test_room_is_hired_for_a_gang_in_one_zone() -> None:
+def test_machines_for_a_gang_are_hired_in_one_zone() -> None:
     world = started_world(machines=3)
     world.capacity = 12
     world.submit(gang())
     world.until(lambda: UID in world.running_gangs(), 30)
-    assert len(world.workers) <= 8, "not a machine for each zone"
+    assert len(world.workers) <= 8, "machines are not hired in each zone"
     assert not world.violations
 
 
-def test_what_comes_up_in_several_zones_is_of_no_use_to_a_gang_in_one() -> None:
+def test_machines_booting_in_several_zones_do_not_cover_a_single_zone_gang() -> None:
     world = started_world(machines=3)
     node = node_of_team(world)
     world.submit(gang(tasks=6))
@@ -97,22 +97,25 @@
     other, third = sorted({"a", "b", "c"} - {zone})
     rental = node.rental
 
-    def left(coming: dict[str, float]) -> int:
-        rental._deduct_expected([need], {("m4", z, False): n for z, n in coming.items()})
+    def count_after_booting(booting: dict[str, float]) -> int:
+        rental._deduct_expected([need], {("m4", z, False): n for z, n in booting.items()})
         return need.count
 
-    assert left({zone: 1.0, other: 1.0, third: 1.0}) > 0, "eight tasks' room, in three zones"
+    assert count_after_booting({zone: 1.0, other: 1.0, third: 1.0}) > 0, (
+        "room for eight tasks, but in three zones"
+    )
     assert need.missing_by_zone[zone] == 6 - need.room[zone] - 2
     options = [HireOption(1.0, node.fleet.types["m4"], z, False) for z in (zone, other, third)]
     assert {o.zone for o in rental.hiring._restrict_to_zone(share, need, options)} == {zone}
-    assert need.count == need.missing_by_zone[zone], "only what is missing there"
-    assert left({zone: 2.0}) == 0
+    assert need.count == need.missing_by_zone[zone], "only the tasks missing in that zone"
+    assert count_after_booting({zone: 2.0}) == 0
 
 
-def test_machines_of_another_share_make_up_for_what_a_zone_lacks() -> None:
-    """Its own share has room for a part in that zone; an empty machine of another is the rest.
-    Found by the random interleavings: only zones with empty machines for the whole counted."""
-    world = started_world(machines=6)  # two machines a zone, dealt to three shares
+def test_machines_of_another_share_cover_what_a_zone_lacks() -> None:
+    """The gang's own share has room for some of its tasks in a zone, and an empty machine of
+    another share takes the others. Found by the random interleavings: only zones with empty
+    machines for the whole gang were considered."""
+    world = started_world(machines=6)  # two machines per zone, distributed to three shares
     node = node_of_team(world)
     share = node.shares.of_team("team-1")  # type: ignore[arg-type]
     by_zone: dict[str, set[int]] = {}
@@ -120,7 +123,9 @@
         m for n in world.nodes.values() if n is not None for m in n.fleet.machines.values()
     ):
         by_zone.setdefault(machine.record.zone, set()).add(machine.share.number)
-    assert all(len(shares) == 2 for shares in by_zone.values()), "none has a zone's machines alone"
+    assert all(len(shares) == 2 for shares in by_zone.values()), (
+        "no share owns both machines of a zone"
+    )
     assert any(share in shares for shares in by_zone.values())
     world.submit(gang(tasks=4))
     world.until(lambda: UID in world.running_gangs(), 10)
@@ -128,17 +133,17 @@
 
 
 def test_gangs_and_single_tasks_do_not_starve_each_other() -> None:
-    """A stream of arrays that alone would take each place that falls free."""
+    """A stream of arrays would, on its own, take each place that becomes free."""
     world = started_world(machines=6)
     world.submit(spec("j-000099", tasks=12, team="team-1", estimate_s=4.0))
     world.run(2.0)
     world.submit(gang(rank=1, tasks=4))
     world.submit(gang("j-000005", rank=1, tasks=4))
-    begun: set[str] = set()
+    started: set[str] = set()
     for n in range(60):
         submit(world, spec(f"j-0001{n:02d}", tasks=4, team="team-1", estimate_s=3.0), "n0")
         world.run(1.0)
-        begun |= world.running_gangs()
-    assert {UID, "j-000005"} <= begun
+        started |= world.running_gangs()
+    assert {UID, "j-000005"} <= started
     world.until(lambda: all(world.poll(f"j-0001{n:02d}") == "done" for n in range(60)), 200)
     assert not world.violations
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -1,4 +1,4 @@
-"""Late copies of messages, and processes and machines that are back at once."""
+"""Late duplicates of messages, and processes and machines that restart at once."""
 
 from typing import Any
 
@@ -14,32 +14,36 @@
 
 
 @CLUSTER_SIZES
-def test_a_copy_makes_no_machine_fresh(members: tuple[str, ...]) -> None:
+def test_duplicate_report_does_not_refresh_last_report_time(members: tuple[str, ...]) -> None:
     world = World(machines=3, members=members)
     world.run(4.0)
-    seen = capture_reports(world)
+    reports = capture_reports(world)
     world.run(3.0)
-    member, report = next((m, r) for m, r in seen if owner_of(world, r.machine)[0].context.me == m)
+    member, report = next(
+        (m, r) for m, r in reports if owner_of(world, r.machine)[0].context.me == m
+    )
     node, machine = owner_of(world, report.machine)
     world.workers[report.machine].alive = False
     world.run(4.0)
-    heard, images = machine.last_message_at, dict(machine.images)
-    for late in (0.0, 1.0):
-        world.run(late)
+    last_report_at, images = machine.last_message_at, dict(machine.images)
+    for delay_s in (0.0, 1.0):
+        world.run(delay_s)
         resend_report(world, member, report)
-        assert machine.last_message_at == heard and machine.images == images
+        assert machine.last_message_at == last_report_at and machine.images == images
         assert not node.fleet.usable(machine)
     resend_report(world, member, report._replace(seq=report.seq + 10_000, token=0))
-    assert machine.last_message_at == heard, "a token that goes back is of another life"
+    assert machine.last_message_at == last_report_at, (
+        "a lower token comes from another life of the worker"
+    )
 
 
 @CLUSTER_SIZES
-def test_a_copy_after_a_takeover_makes_no_machine_usable(members: tuple[str, ...]) -> None:
+def test_duplicate_report_after_takeover_makes_no_machine_usable(members: tuple[str, ...]) -> None:
     world = World(machines=3, members=members)
     world.run(4.0)
-    seen = capture_reports(world)
+    reports = capture_reports(world)
     world.run(3.0)
-    _, report = seen[-1]
+    _, report = reports[-1]
     node, _ = owner_of(world, report.machine)
     world.workers[report.machine].alive = False
     world.crash(node.context.me)
@@ -52,14 +56,14 @@
     resend_report(world, node.context.me, report)
     assert not node.fleet.usable(machine)
     world.run(25.0)
-    assert report.machine not in world.workers, "returned like any silent machine"
+    assert report.machine not in world.workers, "returned as any silent machine is"
 
 
-def test_a_copy_brings_back_no_machine_that_was_returned() -> None:
+def test_duplicate_report_does_not_restore_a_returned_machine() -> None:
     world = ready(machines=3)
-    seen = capture_reports(world)
+    reports = capture_reports(world)
     world.run(2.0)
-    member, report = seen[-1]
+    member, report = reports[-1]
     world.workers[report.machine].alive = False
     world.until(lambda: report.machine not in world.workers, 40)
     world.until(
@@ -70,7 +74,7 @@
     )
     for m in world.members:
         resend_report(world, m, report)
-    # Nor after the leader's memory is gone.
+    # The same holds after all nodes, the leader among them, have lost their memory.
     for m in world.members:
         world.crash(m)
         world.start(m)
@@ -82,24 +86,25 @@
     assert member in world.members
 
 
-def test_an_unknown_machine_is_adopted_only_if_it_answers_or_is_listed() -> None:
+def test_unknown_machine_is_adopted_only_if_it_answers_or_is_listed() -> None:
     world = ready(machines=1)
-    ghost = t.Report("i-000900", "i-000900:1", "m4", "a", False, 1, 5, 0, None, ())  # type: ignore[arg-type]
+    unknown_report = t.Report("i-000900", "i-000900:1", "m4", "a", False, 1, 5, 0, None, ())  # type: ignore[arg-type]
     for m in world.members:
-        resend_report(world, m, ghost)
+        resend_report(world, m, unknown_report)
     world.run(5.0)
     assert all("i-000900" not in n.fleet.records for n in world.nodes.values() if n is not None)
 
 
-def test_a_copy_of_a_former_session_ends_nothing() -> None:
-    """After a restart of the worker its old, higher session must not end its new tasks."""
+def test_duplicate_report_of_a_former_session_ends_no_task() -> None:
+    """After a restart of the worker, a duplicate report with its old, higher session number must
+    not end its new tasks."""
     world = ready(machines=1)
     id = next(iter(world.workers))
     worker = world.workers[id]
     worker.session = 5
-    seen = capture_reports(world)
+    reports = capture_reports(world)
     world.run(3.0)
-    member, old = next((m, r) for m, r in reversed(seen) if r.session == 5)
+    member, old_report = next((m, r) for m, r in reversed(reports) if r.session == 5)
     worker.restart_without_state()
     world.run(6.0)
     world.submit(spec("j-000500", service=True, tasks=1))
@@ -107,27 +112,27 @@
     world.run(2.0)
     node, machine = owner_of(world, id)
     assert machine.session == 1
-    resend_report(world, member, old)
+    resend_report(world, member, old_report)
     assert len(node.fleet.placements.of_job("j-000500")) == 1  # type: ignore[arg-type]
     world.run(10.0)
     assert len(world.starts) == 1 and not world.violations
 
 
-def test_a_copy_of_a_command_after_its_attempt_was_cleared_starts_nothing() -> None:
+def test_duplicate_command_for_a_forgotten_attempt_starts_nothing() -> None:
     world = ready(machines=1)
     commands: list[t.Command] = []
     to_worker = world._to_worker
 
-    def noting(member: str, effect: t.Command, back: Any) -> None:
+    def recording_to_worker(member: str, effect: t.Command, back: Any) -> None:
         commands.append(effect)
         to_worker(member, effect, back)
 
-    world._to_worker = noting  # type: ignore[method-assign]
+    world._to_worker = recording_to_worker  # type: ignore[method-assign]
     world.submit(spec("j-000510", tasks=1, estimate_s=0.5))
     world.until(lambda: world.poll("j-000510") == "done", 15)
     world.run(4.0)
     worker = next(iter(world.workers.values()))
-    assert not worker.tasks, "cleared"
+    assert not worker.tasks, "the attempt is forgotten"
     starts = len(world.starts)
     for command in commands:
         worker.command(command)
@@ -135,8 +140,8 @@
     assert len(world.starts) == starts
 
 
-def test_a_report_that_a_direct_answer_overtook_is_answered() -> None:
-    """Its worker waits; a refusal would send it away for a second."""
+def test_report_overtaken_by_a_direct_answer_is_answered() -> None:
+    """The worker waits for an answer; after a refusal it would not try again for a second."""
     world = ready(machines=1)
     id = next(iter(world.workers))
     node, machine = owner_of(world, id)
@@ -149,10 +154,10 @@
     assert answers[0].status == 200 and not answers[0].orders
     world.ask(id, node.context.me, t.ReportReceived(0, report), answers.append)
     world.run(0.1)
-    assert answers[1].status == 503, "a copy of it is not"
+    assert answers[1].status == 503, "a duplicate of the report is refused"
 
 
-def test_a_worker_back_without_memory_is_used_again_at_once() -> None:
+def test_worker_restarted_without_memory_is_used_again_at_once() -> None:
     world = ready(machines=1)
     worker = next(iter(world.workers.values()))
     world.submit(spec("j-000700", service=True, tasks=1))
@@ -166,7 +171,7 @@
 
 @CLUSTER_SIZES
 @pytest.mark.parametrize("pause", [0.0, 0.05, 0.3])
-def test_nodes_back_at_once_in_the_middle_of_takeovers(
+def test_nodes_that_restart_at_once_during_takeovers(
     members: tuple[str, ...], pause: float
 ) -> None:
     world = World(machines=5, members=members, seed=7)
@@ -177,7 +182,7 @@
     world.run(6.0)
     world.crash("n0")
     world.after(9.0, lambda: world.start("n0"))
-    for n in range(8):  # others end and return while the share is taken over
+    for n in range(8):  # other nodes crash and restart during the takeover of the share
         member = members[1 + n % (len(members) - 1)]
         world.run(0.6)
         if world.nodes[member] is not None:
@@ -190,49 +195,53 @@
     assert all(n is not None and n.authority.entitled() for n in world.nodes.values())
 
 
-def test_a_copy_of_a_former_process_does_not_displace_the_live_key() -> None:
+def test_duplicate_commit_of_a_former_process_does_not_replace_the_live_key() -> None:
     world = ready()
-    commits: list[t.Commit] = []
+    recorded_commits: list[t.Commit] = []
     node = world.nodes["n0"]
     assert node is not None
     serve = world.state.serve
 
-    def noting(member: str, effect: Any) -> tuple[int, Any]:
+    def recording_serve(member: str, effect: Any) -> tuple[int, Any]:
         if member == "n0" and isinstance(effect, t.Commit):
-            commits.append(effect)
+            recorded_commits.append(effect)
         return serve(member, effect)
 
-    world.state.serve = noting  # type: ignore[method-assign]
+    world.state.serve = recording_serve  # type: ignore[method-assign]
     world.crash("n0")
     world.start("n0")
     world.run(0.5)
-    former = list(commits)
+    former_commits = list(recorded_commits)
     world.crash("n0")
     world.start("n0")
     world.run(0.5)
     incarnation = world.nodes["n0"].authority.incarnation  # type: ignore[union-attr]
-    for commit in former:
+    for commit in former_commits:
         serve("n0", commit)
     world.run(1.0)
-    now = world.nodes["n0"]
-    assert now is not None and now.authority.incarnation == incarnation and now.authority.entitled()
+    restarted = world.nodes["n0"]
+    assert (
+        restarted is not None
+        and restarted.authority.incarnation == incarnation
+        and restarted.authority.entitled()
+    )
 
 
-def test_patience_lies_between_a_lost_report_and_the_lease() -> None:
+def test_silence_limit_lies_between_a_lost_report_and_the_lease() -> None:
     world = ready()
     fleet: Fleet = world.nodes["n0"].fleet  # type: ignore[union-attr]
     assert 2.5 <= fleet.silence_limit_s() < LEASE_S
     assert fleet.context.now >= Instant(0.0)
 
 
-def test_a_new_session_has_its_whole_lease_whatever_was_answered_before() -> None:
-    """A task started by a command in a session that had no answer yet was taken for gone, as
-    the last answer to the session before was a lease ago; it ran twice."""
+def test_new_session_gets_a_whole_lease_regardless_of_earlier_answers() -> None:
+    """A command started a task in a session that had no answer yet. Since the last answer to the
+    previous session was a lease ago, the task was taken for ended, and it ran twice."""
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
-    since = machine.known_state
+    known_when_sent = machine.known_state
     machine.last_answer = Instant(node.context.now - node.context.lease_s + 0.1)
-    live = t.Report(
+    new_session_report = t.Report(
         machine.id,
         machine.addr,
         "m4",
@@ -244,7 +253,7 @@
         None,
         (),
     )
-    assert node.fleet.reports.apply(live, since)
+    assert node.fleet.reports.apply(new_session_report, known_when_sent)
     job = Job(spec("j-000810"), 1)  # type: ignore[arg-type]
     placement = node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     node.context.now = Instant(node.context.now + 1.0)
@@ -252,7 +261,7 @@
     assert placement.active
 
 
-def test_orders_of_an_answer_are_looked_for_in_the_next_report() -> None:
+def test_orders_sent_in_an_answer_are_expected_in_the_next_report() -> None:
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
@@ -278,11 +287,12 @@
     assert machine.suspected and not node.fleet.usable(machine)
 
 
-def test_a_copy_right_after_a_restart_of_the_worker_is_not_believed() -> None:
-    """Before the new life has shown a token of ours, only the raised one tells the two apart."""
+def test_duplicate_report_right_after_a_worker_restart_is_rejected() -> None:
+    """Until the restarted worker has reported a token of this owner, only the raised token tells
+    its reports from those before the restart."""
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
-    old = t.Report(
+    old_report = t.Report(
         machine.id,
         machine.addr,
         "m4",
@@ -294,16 +304,16 @@
         None,
         (),
     )
-    since = machine.known_state
-    live = old._replace(session=Session(1), seq=0, token=Token(0))
-    assert node.fleet.reports.apply(live, since)
+    known_when_sent = machine.known_state
+    new_report = old_report._replace(session=Session(1), seq=0, token=Token(0))
+    assert node.fleet.reports.apply(new_report, known_when_sent)
     assert machine.session == 1 and machine.suspected
-    assert not node.fleet.reports.apply(old)
+    assert not node.fleet.reports.apply(old_report)
     assert machine.session == 1
 
 
-def test_a_new_session_raises_a_doubt() -> None:
-    """Its lease ran out though reports came: what was answered didn't arrive."""
+def test_new_session_makes_the_machine_suspected() -> None:
+    """The worker's lease ended although its reports arrived, so the answers did not reach it."""
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
@@ -325,7 +335,7 @@
     assert machine.suspected and not node.fleet.usable(machine)
 
 
-def test_a_start_that_never_left_is_taken_back_at_once() -> None:
+def test_start_order_that_was_never_sent_is_undone_at_once() -> None:
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
@@ -336,12 +346,12 @@
     command = next(e for e in node.context.effects if isinstance(e, t.Command))
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
     assert not placement.active and placement.task not in node.fleet.placements.by_task
-    # One that an answer has carried meanwhile may be there.
+    # A start order that an answer has carried meanwhile may have reached the machine.
     node.context.now = Instant(node.context.now + 1.1)
-    other = node.fleet.placements.place(job, 1, machine, machine.share.next_attempt())
+    answered_placement = node.fleet.placements.place(job, 1, machine, machine.share.next_attempt())
     node.context.effects.clear()
     node.fleet.commands.push()
     command = next(e for e in node.context.effects if isinstance(e, t.Command))
     node.fleet.commands.orders(machine, answering=True)
     node.handle(node.context.now, t.Outcome(command.tag, 0, None, sent=False))
-    assert other.active
+    assert answered_placement.active
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""What must not grow with the fleet: messages, queues, connections, numbers that run out."""
+"""Bounds that hold for large fleets: sizes of messages, queues, connections and counters."""
 
 import random
 from typing import Any
@@ -45,24 +45,25 @@
     encode,
 )
 
-# --- numbers that run out ----------------------------------------------------------------
+# --- attempt numbers ---------------------------------------------------------------------
 
 
-def test_attempts_stay_unique_beyond_a_million_starts_of_one_owner() -> None:
-    """At 4,000 machines an owner starts a million tasks within the hour: with the counter's bits
-    full, numbers came again that were given before."""
+def test_attempt_numbers_stay_unique_beyond_a_million_starts() -> None:
+    """At 4,000 machines an owner starts a million tasks within an hour. An overflow of the
+    counter's bits made the owner reuse earlier attempt numbers."""
     million = 1 << COUNTER_BITS
     holding = Holding(ShareNo(0), Stamp(5), Instant(0.0))
     first = holding.next_attempt()
     holding._attempts = million - 1
     beyond = [holding.next_attempt() for _ in range(3)]
     assert len({first, *beyond}) == 4 and [first, *beyond] == sorted([first, *beyond])
-    assert beyond[-1] < make_attempt(Stamp(7), 0), "below those of whoever owns it next"
+    assert beyond[-1] < make_attempt(Stamp(7), 0), "lower than any number of the next owner"
     assert highest_epoch(Stamp(5), million) == 6
 
 
-def test_nothing_starts_whose_attempt_another_owner_may_use() -> None:
-    """A number carried into a revision that is not taken yet might be the next owner's."""
+def test_no_start_with_an_attempt_number_that_another_owner_may_use() -> None:
+    """A counter overflow yields the number of a later epoch. As long as the store has not reached
+    that revision, the next owner of the share may use the same number."""
     node, machine = owner_and_machine(ready())
     holding = machine.share
     holding._attempts = (int(node.store.applied - holding.epoch) + 1 << COUNTER_BITS) - 1
@@ -78,13 +79,13 @@
 # --- messages between controllers --------------------------------------------------------
 
 
-def test_heartbeats_tell_of_many_jobs_in_pages_and_lost_ones_are_made_up_for() -> None:
+def test_heartbeats_page_job_counts_and_recover_from_lost_pages() -> None:
     counts: dict[JobId, int] = {}
     changed: dict[JobId, None] = {}
-    pages, told = RunningPages(counts, changed), PeerCounts()
+    pages, peer_counts = RunningPages(counts, changed), PeerCounts()
     rng = random.Random(3)
 
-    def change(number: int, count: int) -> None:
+    def set_count(number: int, count: int) -> None:
         uid = JobId(f"j-{number:06d}")
         if count:
             counts[uid] = count
@@ -92,77 +93,80 @@
             counts.pop(uid, None)
         changed[uid] = None
 
-    def beat(lost: bool = False) -> None:
+    def send_heartbeat(lost: bool = False) -> None:
         begins, page = pages.next()
         assert len(page) <= RUNNING_PAGE
         line = encode(Heartbeat(True, page, [], 1, begins))
         assert len(line) < 64 * 1024
         if not lost:
-            told.record(Member("n1"), begins, page)
+            peer_counts.record(Member("n1"), begins, page)
 
     for number in range(5 * RUNNING_PAGE):
-        change(number, 1 + number % 3)
+        set_count(number, 1 + number % 3)
     for _ in range(12):
-        beat()
-    assert all(told.of(uid) == count for uid, count in counts.items())
-    change(7, 9)
-    change(8, 0)
-    beat()
-    assert told.of(JobId("j-000007")) == 9 and told.of(JobId("j-000008")) == 0, "changes go first"
+        send_heartbeat()
+    assert all(peer_counts.of(uid) == count for uid, count in counts.items())
+    set_count(7, 9)
+    set_count(8, 0)
+    send_heartbeat()
+    assert peer_counts.of(JobId("j-000007")) == 9 and peer_counts.of(JobId("j-000008")) == 0, (
+        "changes are sent first"
+    )
     for number in rng.sample(range(5 * RUNNING_PAGE), 500):
-        change(number, 0)
+        set_count(number, 0)
     for n in range(24):
-        beat(lost=n < 4)
+        send_heartbeat(lost=n < 4)
     for number in range(5 * RUNNING_PAGE):
         uid = JobId(f"j-{number:06d}")
-        assert told.of(uid) == counts.get(uid, 0)
+        assert peer_counts.of(uid) == counts.get(uid, 0)
 
 
-def test_owners_tell_the_leader_of_their_machines_in_pages() -> None:
+def test_owners_report_machines_to_the_leader_in_pages() -> None:
     node = leader(ready(machines=9))
     share = next(iter(node.shares.owned))
     machines = node.fleet.of_share(share)
     pages = LoadPages(node.fleet, share)
     assert [m.id for m in pages.next()] == [m.id for m in machines]
 
-    class Many(LoadPages):
+    class ManyMachinePages(LoadPages):
         def all(self) -> list[Any]:
             return [next(iter(machines))] * (2 * LOAD_PAGE + 1)
 
-    many = Many(node.fleet, share)
-    assert [len(many.next()) for _ in range(4)] == [LOAD_PAGE, LOAD_PAGE, 1, LOAD_PAGE]
-    heard = {f"i-{n:06d}": MachineLoad(100.25, 1000.5, 31.5) for n in range(LOAD_PAGE)}
-    assert len(encode(ShareLoad(share, 1e5, heard, []))) < 64 * 1024
+    pages_of_many = ManyMachinePages(node.fleet, share)
+    assert [len(pages_of_many.next()) for _ in range(4)] == [LOAD_PAGE, LOAD_PAGE, 1, LOAD_PAGE]
+    loads = {f"i-{n:06d}": MachineLoad(100.25, 1000.5, 31.5) for n in range(LOAD_PAGE)}
+    assert len(encode(ShareLoad(share, 1e5, loads, []))) < 64 * 1024
 
 
 @needs_production_history
-def test_a_leader_of_the_former_version_is_told_of_all_machines_at_once() -> None:
+def test_leader_of_previous_version_receives_all_machines_in_one_message() -> None:
     world = World(machines=9, on_production=True)
     world.run(5.0)
-    old = next(m for m, n in world.nodes.items() if n and n.rental.leadership.leading)
-    other = next(m for m in world.members if m != old)
-    world.crash(other)
-    world.production_members.discard(other)
-    world.start(other)
-    node = world.nodes[other]
+    previous_leader = next(m for m, n in world.nodes.items() if n and n.rental.leadership.leading)
+    upgraded = next(m for m in world.members if m != previous_leader)
+    world.crash(upgraded)
+    world.production_members.discard(upgraded)
+    world.start(upgraded)
+    node = world.nodes[upgraded]
     assert node is not None
     world.until(lambda: bool(node.shares.owned) and bool(node.fleet.machines), 10.0)
     node.rental._pages = {}
     node.context.effects.clear()
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 1)
-        assert not node.versions.reads(Member(old), PAGED_LOADS_VERSION)
+        assert not node.versions.reads(Member(previous_leader), PAGED_LOADS_VERSION)
         node.rental._report_loads()
     sent = [e.message for e in node.context.effects if isinstance(e, t.SendToPeer)]
-    (load,) = [m for m in sent if isinstance(m, ShareLoad)]
-    assert len(load.machines) == len(node.fleet.of_share(load.share)) > 1
+    (share_load,) = [m for m in sent if isinstance(m, ShareLoad)]
+    assert len(share_load.machines) == len(node.fleet.of_share(share_load.share)) > 1
 
 
-# --- changes of the state service --------------------------------------------------------
+# --- writes to the state service ---------------------------------------------------------
 
 
-def test_recording_a_fleet_leaves_room_for_users() -> None:
-    """4,000 records take the state service most of a minute: a submission was behind them all."""
+def test_recording_a_fleet_leaves_write_capacity_for_users() -> None:
+    """The state service takes most of a minute to write 4,000 records, and a submission was queued
+    behind all of them."""
     node = leader(ready(machines=1))
     adoption, queued = node.rental.adoption, node.store._queued
     found = [
@@ -170,13 +174,13 @@
     ]
     node.store._write_budget.rate, node.store._write_budget.level = 0.1, 0.0
     adoption.adopt(found[:1])
-    assert queued[node.store.OWNER] == 1, "a few go first, as work waits for them"
+    assert queued[node.store.OWNER] == 1, "a few records are written first, as tasks wait for them"
     adoption.adopt(found)
     assert queued[node.store.OWNER] == 1
     assert queued[node.store.USER] == (MAX_OPEN_TRANSACTIONS - 1) * node.context.limits.txn_ops
 
 
-def test_one_machine_recorded_meanwhile_does_not_keep_the_others_of_its_batch_out() -> None:
+def test_conflict_on_one_machine_record_does_not_block_the_rest_of_its_batch() -> None:
     node = leader(ready(machines=1))
     found = [FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(3)]
     node.context.effects.clear()
@@ -184,17 +188,17 @@
     node.rental.adoption.adopt(found)
     batch = next(e for e in node.context.effects if isinstance(e, t.Commit))
     assert len(batch.then) == 3
-    other = MachineValue(ShareNo(1), "m4", "a", False, False)
-    node.store._apply(MACHINE + found[0].id, other, Stamp(node.store.applied + 1))
+    concurrent_value = MachineValue(ShareNo(1), "m4", "a", False, False)
+    node.store._apply(MACHINE + found[0].id, concurrent_value, Stamp(node.store.applied + 1))
     node.context.effects.clear()
     batch.tag(t.Outcome(batch.tag, 409, None, began=node.context.now))
     node.store._flush()
-    alone = [e.then[0].key for e in node.context.effects if isinstance(e, t.Commit)]
-    assert sorted(alone) == [MACHINE + machine.id for machine in found[1:]]
+    retried_keys = [e.then[0].key for e in node.context.effects if isinstance(e, t.Commit)]
+    assert sorted(retried_keys) == [MACHINE + machine.id for machine in found[1:]]
     assert found[0].id not in node.rental.adoption._pending_records
 
 
-def test_returning_a_fleet_leaves_room_for_users_and_machines_for_work() -> None:
+def test_returning_a_fleet_leaves_write_capacity_for_users_and_machines_for_work() -> None:
     world = ready(machines=60)
     node = owner_and_machine(world)[0]
     machines = list(node.fleet.machines.values())
@@ -204,11 +208,14 @@
         node.rental.transfers.handle(ReturnMachine(machine.id))
     moving = [m for m in machines if m.moving]
     assert 1 <= len(moving) == node.store.max_changes(MAX_CHANGE_BACKLOG_S) < len(machines)
-    assert 0.0 < node.store.backlog <= FAIR_BACKLOG_S, "no submission is refused for it"
+    assert 0.0 < node.store.backlog <= FAIR_BACKLOG_S, (
+        "no submission is refused because of the backlog"
+    )
 
 
-def test_records_of_many_returned_machines_go_behind_users_and_are_returned_once() -> None:
-    """The leader refused 20 of 22 submissions while 848 machines were returned."""
+def test_records_of_returned_machines_queue_behind_users_and_are_released_once() -> None:
+    """Guards against a write queue filled by returns: the leader refused 20 of 22 submissions while
+    848 machines were returned."""
     world = ready(machines=60)
     node = leader(world)
     inventory, store = node.rental.inventory, node.store
@@ -229,10 +236,12 @@
     assert store._queued[store.OWNER] == size and store._queued[store.BACKGROUND] == 50 - size
     node.context.effects.clear()
     inventory.release_leaving()
-    assert not [e for e in node.context.effects if isinstance(e, t.Release)], "not once more"
+    assert not [e for e in node.context.effects if isinstance(e, t.Release)], (
+        "each machine is released only once"
+    )
 
 
-def test_forgetting_returned_machines_keeps_up_with_returns() -> None:
+def test_deletion_of_returned_machine_records_keeps_up_with_returns() -> None:
     node = leader(ready(machines=1))
     inventory, size = node.rental.inventory, node.context.limits.txn_ops
     inventory.largest_fleet = 0
@@ -249,15 +258,15 @@
         if w.value is None
     ]
     assert len(forgotten) == size + 200 and before == 0
-    assert f"{MACHINE}i-500000" in forgotten, "the oldest"
+    assert f"{MACHINE}i-500000" in forgotten, "the oldest record is deleted"
 
 
-def test_unstored_finishes_are_looked_at_when_they_are_due() -> None:
-    """Each input went through every job with a finished task."""
+def test_unstored_finishes_are_processed_only_when_due() -> None:
+    """Guards against a scan of every job with a finished task on each input."""
     node, machine = owner_and_machine(ready())
     finishes, share = node.scheduler.finishes, machine.share.number
-    asked: list[JobId] = []
-    finishes.store_finished = lambda work, complete: asked.append(work.job.uid)  # type: ignore[method-assign]
+    stored: list[JobId] = []
+    finishes.store_finished = lambda work, complete: stored.append(work.job.uid)  # type: ignore[method-assign]
     works = []
     for n in range(50):
         job = Job(spec(f"j-1{n:05d}", tasks=5), Stamp(machine.share.epoch + 1))
@@ -266,18 +275,19 @@
         works[-1].flushed_at = Instant(node.context.now - FLUSH_GAP_S + 0.01 * (n + 1) + 0.001)
         finishes.add(works[-1], 0)
     finishes.flush()
-    assert not asked
+    assert not stored
     node.context.now = Instant(node.context.now + 0.2051)
     finishes.flush()
-    assert len(asked) == 20
+    assert len(stored) == 20
     for number in range(1, 5):
         finishes.add(works[40], number)
     finishes.flush()
-    assert asked[20:] == [works[40].job.uid], "what completes a job does not wait"
+    assert stored[20:] == [works[40].job.uid], "a finish that completes a job is not delayed"
 
 
-def test_finishes_of_many_jobs_leave_changes_to_others() -> None:
-    """Each of hundreds of arrays stored a change a second: more than the state service takes."""
+def test_finishes_of_many_jobs_use_at_most_half_the_write_rate() -> None:
+    """Guards against hundreds of arrays that each store a change per second, which is more than the
+    state service takes."""
     node, machine = owner_and_machine(ready())
     finishes, now = node.scheduler.finishes, node.context.now
     node.store._write_budget.rate = 20.0
@@ -292,31 +302,34 @@
     assert finishes._due_at[JobId("j-100099")] >= now + 9.9
     for number in range(1, 5):
         finishes.add(node.scheduler.work[JobId("j-100099")], number)
-    assert finishes._due_at[JobId("j-100099")] <= now, "what completes a job does not wait"
+    assert finishes._due_at[JobId("j-100099")] <= now, (
+        "a finish that completes a job is not delayed"
+    )
 
 
-def test_machines_that_are_emptied_are_looked_at_one_at_a_time() -> None:
-    """With hundreds of them, each tick looked for a place on every machine for each: a controller
-    of 2,000 machines did nothing else. Found by a measurement at 4,000."""
+def test_draining_machines_are_processed_one_per_tick() -> None:
+    """With hundreds of draining machines, each tick searched every machine for a place for each of
+    them, and a controller of 2,000 machines did nothing else. Found in a measurement with 4,000
+    machines."""
     node, _ = owner_and_machine(ready(machines=12))
-    draining, looks = node.scheduler.draining, []
-    draining._relocate_replicas = lambda machine: looks.append(machine.id)  # type: ignore[method-assign]
+    draining, processed = node.scheduler.draining, []
+    draining._relocate_replicas = lambda machine: processed.append(machine.id)  # type: ignore[method-assign]
     machines = list(node.fleet.machines.values())[:3]
     for machine in machines:
         machine.draining_until = Instant(node.context.now + 45.0)
         draining._draining.append(machine)
     for _ in range(6):
         draining.tick()
-    assert looks == [m.id for m in machines] * 2, "in turn"
+    assert processed == [m.id for m in machines] * 2, "round-robin"
     machines[0].draining_until = node.context.now
     draining.tick()
     assert machines[0] not in draining._draining and len(draining._draining) == 2
 
 
-def test_news_of_cancellations_is_found_by_revision() -> None:
+def test_cancellations_are_found_by_revision() -> None:
     jobs = Jobs()
     order = list(range(1, 200))
-    random.Random(1).shuffle(order)  # a first read brings them by name
+    random.Random(1).shuffle(order)  # the initial read returns jobs in order of their names
     for n in order:
         job = spec(f"j-{n:06d}")
         jobs.apply_job(JobId(job.uid), job_value(job, "cancelled"), Stamp(n), 0.0)
@@ -324,8 +337,9 @@
     assert len(jobs.cancelled_since(Stamp(0))) == 199
 
 
-def test_records_whose_changes_are_lost_or_late_are_made_in_the_end() -> None:
-    """A fleet is recorded in many transactions, and half of them fail in one way or another."""
+def test_machine_records_are_completed_despite_lost_answers_and_late_writes() -> None:
+    """Records a fleet in many transactions, half of which fail through late writes or lost
+    answers."""
     world = World(machines=300, operators=Operators(idle_return=1e6))
     world.run(0.5)
     world.late_writes, world.lost_answers = 0.25, 0.25
@@ -338,12 +352,13 @@
     node = leader(world)
     assert not node.rental.adoption._pending_records and not node.rental.adoption._queue
     held = [m.id for n in world.nodes.values() if n for m in n.fleet.machines.values()]
-    assert len(held) == len(set(held)) == 300, "each in one share"
+    assert len(held) == len(set(held)) == 300, "each machine belongs to one share"
 
 
 @needs_production_history
-def test_an_upgrade_while_loads_are_told_in_pages() -> None:
-    """Former leaders get every machine at once; replicas stay, and empty machines are returned."""
+def test_rolling_upgrade_with_paged_load_reports() -> None:
+    """Leaders of the previous version receive every machine in one message. Replicas keep running
+    during the upgrade, and empty machines are returned."""
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 2)
         patched.setattr("runcourse.core.running_counts.RUNNING_PAGE", 2)
@@ -353,26 +368,26 @@
             job = spec(f"j-00005{n}", tasks=3, service=True, team=f"team-{n}", rank=0)
             world.submit(job)
         world.run(5.0)
-        up = sorted(str(task) for task, _ in world.on_machines())
-        assert len(up) == 12
+        replicas = sorted(str(task) for task, _ in world.on_machines())
+        assert len(replicas) == 12
         for member in world.members:
             world.crash(member)
             world.production_members.discard(member)
             world.run(0.5)
             world.start(member)
             world.run(12.0)
-            assert sorted(str(task) for task, _ in world.on_machines()) == up
+            assert sorted(str(task) for task, _ in world.on_machines()) == replicas
             assert len(world.workers) >= 6
         world.run(60.0)
-        assert len(world.workers) < 15, "what stays empty is returned"
-        assert sorted(str(task) for task, _ in world.on_machines()) == up
+        assert len(world.workers) < 15, "machines that stay empty are returned"
+        assert sorted(str(task) for task, _ in world.on_machines()) == replicas
         assert not world.violations
 
 
 # --- the cloud and the workers -----------------------------------------------------------
 
 
-def test_a_long_list_leaves_most_of_the_clouds_rate_to_hires() -> None:
+def test_long_machine_list_leaves_most_of_the_cloud_rate_to_hires() -> None:
     node = leader(ready(machines=1))
     inventory, rps = node.rental.inventory, node.context.platform.settings.cloud.rps
     assert inventory._list_every_s() == 3.0
@@ -380,24 +395,29 @@
     assert 100 / inventory._list_every_s() == pytest.approx(rps / 4)
 
 
-def test_a_machine_missing_from_the_list_is_kept_until_its_owner_has_spoken_of_it() -> None:
-    """Owners tell of their machines in turn: what was said before the list proves nothing."""
+def test_machine_missing_from_the_list_is_kept_until_a_newer_owner_report() -> None:
+    """Owners report their machines page by page, so a report older than the list does not prove
+    that a machine is gone."""
     node = leader(ready(machines=3))
     inventory, view, now = node.rental.inventory, node.rental.view, node.context.now
     id, record = next(iter(node.fleet.records.items()))
     missing = Instant(now - 1.0)
     view._last_loads[id] = (Instant(now - 2.0), MachineLoad(0.5, -1.0, 0.0))
-    assert inventory._may_still_exist(id, missing), "an old word, and its owner goes on telling"
+    assert inventory._may_still_exist(id, missing), (
+        "the report is older than the list, and the owner still reports"
+    )
     view._last_loads[id] = (Instant(now - 0.5), MachineLoad(0.2, -1.0, 0.0))
-    assert inventory._may_still_exist(id, missing), "heard since"
+    assert inventory._may_still_exist(id, missing), "the machine has reported since"
     view._last_loads[id] = (Instant(now - 0.5), MachineLoad(3.0, -1.0, 0.0))
-    assert not inventory._may_still_exist(id, missing), "not heard since, by a newer word"
+    assert not inventory._may_still_exist(id, missing), (
+        "a newer owner report says that the machine was silent since"
+    )
     view._last_loads[id] = (Instant(now - 2.0), MachineLoad(0.5, -1.0, 0.0))
     node.rental.loads[record.share].at = Instant(now - LOAD_VALID_S - 0.1)
-    assert not inventory._may_still_exist(id, missing), "its owner tells nothing any more"
+    assert not inventory._may_still_exist(id, missing), "its owner has stopped reporting"
 
 
-def test_an_unknown_fleet_is_asked_with_few_connections() -> None:
+def test_unknown_machines_are_probed_over_few_connections() -> None:
     node = leader(ready(machines=1))
     node.context.effects.clear()
     for n in range(500):
@@ -408,8 +428,9 @@
     assert 1 <= len(probes) == sockets.probes < 500
 
 
-def test_suspected_machines_that_wait_for_a_connection_are_not_looked_at_each_time() -> None:
-    """After a takeover each input went through all machines that could not be told yet."""
+def test_suspected_machines_waiting_for_a_connection_are_not_rescanned() -> None:
+    """Guards against a scan, on each input after a takeover, of all machines whose commands still
+    wait for a connection."""
     world = ready(machines=12)
     node, _ = owner_and_machine(world)
     commands = node.fleet.commands
@@ -425,71 +446,77 @@
     node.context.effects.clear()
     command.tag(t.Outcome(command.tag, 0, None, sent=False, began=node.context.now))
     commands.push()
-    assert waiting not in commands._waiting_suspected, "the one that waited for longest is next"
+    assert waiting not in commands._waiting_suspected, "the machine that has waited longest is next"
 
 
-def test_connections_of_many_workers_give_way_in_turn() -> None:
-    """Those that came first kept theirs for good, and the others connected for each report."""
+def test_worker_connections_are_closed_in_rotation() -> None:
+    """The first workers kept their connections for good, and all others had to connect again for
+    each report."""
 
-    async def story(server: Server, port: int) -> None:
+    async def send_reports(server: Server, port: int) -> None:
         workers = [Client("127.0.0.1", port, limit=1) for _ in range(12)]
-        kept: dict[int, int] = dict.fromkeys(range(12), 0)
+        kept_counts: dict[int, int] = dict.fromkeys(range(12), 0)
         for _ in range(12 * CLOSED_PER_ROTATION):
             for number, worker in enumerate(workers):
                 assert (await worker.request("POST", BEAT, b"x", 5.0))[0] == 200
-                kept[number] += bool(worker._idle) and not worker._idle[0].reader.at_eof()
+                kept_counts[number] += bool(worker._idle) and not worker._idle[0].reader.at_eof()
             assert server.limited_open <= 5
-        assert min(kept.values()) > 0.25 * max(kept.values()), kept
+        assert min(kept_counts.values()) > 0.25 * max(kept_counts.values()), kept_counts
         for worker in workers:
             worker.close()
 
-    serve(16, 5, story)
+    serve(16, 5, send_reports)
 
 
-# --- all at once -------------------------------------------------------------------------
+# --- whole system ------------------------------------------------------------------------
 
 
-def test_four_thousand_machines_are_recorded_serve_and_change_hands() -> None:
-    """Adoption, work, a controller lost: no lease ends, no message grows with the fleet."""
+def test_4000_machines_are_recorded_serve_and_survive_a_takeover() -> None:
+    """Covers adoption, work and the loss of a controller with 4,000 machines: no worker's lease
+    ends, and no message grows with the fleet."""
 
-    class Counting(World):
+    class MessageSizeWorld(World):
         longest = 0
 
         def _send_to_peer(self, member: str, other: str, message: Any) -> None:
             self.longest = max(self.longest, len(encode(message)))
             super()._send_to_peer(member, other, message)
 
-    keep = Operators(idle_return=1e6)
-    world = Counting(machines=4000, cpus_max=400.0, lease_s=12.0, operators=keep)
+    operator_settings = Operators(idle_return=1e6)
+    world = MessageSizeWorld(
+        machines=4000, cpus_max=400.0, lease_s=12.0, operators=operator_settings
+    )
 
-    def recorded() -> int:
+    def recorded_machines() -> int:
         return sum(k.startswith(MACHINE) for k in world.state.data)
 
-    def settled() -> bool:
-        held = [h for n in world.nodes.values() if n for h in n.shares.owned.values()]
-        return len(held) == 3 and all(h.settled for h in held)
+    def all_shares_settled() -> bool:
+        holdings = [h for n in world.nodes.values() if n for h in n.shares.owned.values()]
+        return len(holdings) == 3 and all(h.settled for h in holdings)
 
-    world.until(lambda: recorded() == 4000 and settled(), 40.0)
+    world.until(lambda: recorded_machines() == 4000 and all_shares_settled(), 40.0)
     for n in range(4):
         world.submit(spec(f"j-00000{n}", tasks=40, service=True, team=f"team-{n}", rank=0))
         world.submit(spec(f"j-00001{n}", tasks=60, team=f"team-{n}", estimate_s=2.0))
     replicas = {f"j-00000{n}" for n in range(4)}
 
-    def up() -> int:
+    def running_replicas() -> int:
         return sum(task.job in replicas for task, _ in world.on_machines())
 
-    world.until(lambda: up() == 160, 15.0)
+    world.until(lambda: running_replicas() == 160, 15.0)
     sessions = sum(w.session for w in world.workers.values())
     starts = len([1 for _, task, _ in world.starts if task.job in replicas])
     world.crash("n0")
     world.run(1.0)
-    world.until(settled, 12.0)
+    world.until(all_shares_settled, 12.0)
     world.until(lambda: all(world.poll(f"j-00001{n}", "n1") == "done" for n in range(4)), 20.0)
     assert sum(w.session for w in world.workers.values()) == sessions, "no worker's lease ended"
-    assert up() == 160 and starts == len([1 for _, x, _ in world.starts if x.job in replicas])
+    assert running_replicas() == 160 and starts == len(
+        [1 for _, x, _ in world.starts if x.job in replicas]
+    )
     assert 0 < world.longest < 64 * 1024 and not world.violations
 
 
-def test_a_node_with_the_worlds_settings_has_sockets_for_its_probes() -> None:
+def test_default_world_settings_leave_sockets_for_probes() -> None:
     node = Node(platform("n0"), Operators(), random.Random(1), Instant(0.0))
     assert node.rental.inventory._max_probes >= 1
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -1,4 +1,5 @@
-"""One-way machines, nodes left alone with their workers, and jobs that stay known meanwhile."""
+"""Machines reachable in one direction only, nodes isolated with their workers, and the jobs known
+meanwhile."""
 
 import pytest
 from failing_parts import CLUSTER_SIZES, owner_of, replacement_delay_s
@@ -11,7 +12,7 @@
 
 
 @CLUSTER_SIZES
-def test_all_jobs_are_known_after_all_nodes_restarted(members: tuple[str, ...]) -> None:
+def test_all_jobs_are_known_after_all_nodes_restart(members: tuple[str, ...]) -> None:
     world = World(members=members)
     world.run(4.0)
     for n in range(3000):
@@ -25,19 +26,19 @@
         world.crash(member)
         world.after(0.5, lambda m=member: world.start(m))  # type: ignore[misc]
     world.run(6.0)
-    unlucky = [f"j-{n:06d}" for n in range(0, 3000, 299)]
+    sampled = [f"j-{n:06d}" for n in range(0, 3000, 299)]
     for member in members:
-        assert all(world.poll(uid, member) in ("done", "cancelled") for uid in unlucky)
+        assert all(world.poll(uid, member) in ("done", "cancelled") for uid in sampled)
     assert not world.violations
 
 
-def test_refusals_for_want_of_contact_end_with_the_outage() -> None:
+def test_refusals_due_to_lost_contact_end_with_the_outage() -> None:
     world = ready()
     for n in range(6):
         world.submit(spec(f"j-00010{n}", service=True, tasks=1, team=f"team-{n % 4}"))
     world.state.outage(True)
     world.run(14.0)
-    assert world.poll("j-000100") == "?", "nothing can be known in an outage"
+    assert world.poll("j-000100") == "?", "no job state can be answered in an outage"
     world.state.outage(False)
     world.run(3.0)
     for member in world.members:
@@ -45,16 +46,16 @@
     assert world.cancel("j-000100") == "cancelled" and not world.violations
 
 
-def test_large_jobs_begin_behind_a_steady_stream_of_small_and_urgent_ones() -> None:
+def test_large_jobs_start_despite_a_steady_stream_of_small_urgent_jobs() -> None:
     world = World(machines=5, cpus_max=100.0)
     world.run(4.0)
-    # team-0 and team-3 have the same share; the stream alone would fill all of it, and what
-    # team-0 has already uses up its guarantee.
+    # team-0 and team-3 are in the same share. The stream alone would fill the share, and the
+    # running tasks of team-0 use up its guarantee.
     world.submit(spec("j-000199", tasks=2, team="team-0", service=True))
     world.run(3.0)
     world.submit(spec("j-000200", tasks=30, team="team-0", rank=2, estimate_s=3.0, deadline_s=20.0))
     world.submit(spec("j-000201", tasks=4, team="team-0", rank=2, service=True))
-    begun: dict[str, float] = {}
+    started_at: dict[str, float] = {}
     number = 300
     while world.now < 250.0:
         for _ in range(3):
@@ -66,22 +67,20 @@
             world.ask("user", "n0", t.Submit(0, job.uid, job), lambda answer: None)
         world.run(1.0)
         for _, task, _ in world.starts[-40:]:
-            begun.setdefault(str(task.job), world.now)
-    assert begun["j-000200"] < 240.0 and begun["j-000201"] < 240.0
+            started_at.setdefault(str(task.job), world.now)
+    assert started_at["j-000200"] < 240.0 and started_at["j-000201"] < 240.0
     assert not world.violations
 
 
 @CLUSTER_SIZES
 @pytest.mark.parametrize("restarts", [False, True], ids=["plain", "owner restarts"])
-def test_a_machine_that_nothing_reaches_is_replaced(
-    members: tuple[str, ...], restarts: bool
-) -> None:
-    # Which node its worker tries next is chance: now and then the lease ends before.
-    took = sorted(replacement_delay_s(members, restarts, seed) for seed in range(1, 6))
-    assert took[2] < 10.0 and took[-1] < 14.0
+def test_unreachable_machine_is_replaced(members: tuple[str, ...], restarts: bool) -> None:
+    # The worker chooses the next node at random, so its lease sometimes ends first.
+    durations_s = sorted(replacement_delay_s(members, restarts, seed) for seed in range(1, 6))
+    assert durations_s[2] < 10.0 and durations_s[-1] < 14.0
 
 
-def test_what_runs_on_a_machine_not_reached_is_cancelled_in_time_and_counts() -> None:
+def test_tasks_on_unreachable_machines_count_against_limits_and_are_cancelled_in_time() -> None:
     world = ready(machines=3, cpus_max=4.0)
     world.submit(spec("j-000410", service=True, tasks=2))
     world.until(lambda: len(world.on_machines()) == 2, 10)
@@ -91,25 +90,25 @@
     world.submit(spec("j-000411", service=True, tasks=2))
     world.run(CANCEL_S + 10.0)
     assert not world.violations, (
-        "no limit broken by what may still run, none after the cancellation"
+        "tasks that may still run exceed no limit, and none runs after the cancellation time"
     )
 
 
-def test_a_machine_is_used_again_once_it_is_reached() -> None:
+def test_machine_is_used_again_once_it_is_reached() -> None:
     world = ready(machines=1, lease_s=12.0)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.inbound_cut.add(machine.id)
     node.fleet.commands.suspect(machine)
     world.run(0.9)
     assert node.fleet.silent_s(machine) < 1.3
-    assert not node.fleet.usable(machine), "heard is not reached"
+    assert not node.fleet.usable(machine), "a report does not show that the machine can be reached"
     world.inbound_cut.clear()
     world.until(lambda: node.fleet.usable(machine), 8)
     world.submit(spec("j-000420", tasks=1))
     world.until(lambda: world.poll("j-000420") == "done", 15)
 
 
-def test_a_machine_not_reached_is_answered_no_more_so_that_its_lease_ends() -> None:
+def test_reports_of_an_unreachable_machine_are_refused_so_its_lease_ends() -> None:
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     report = t.Report(
@@ -125,20 +124,20 @@
         (),
     )
 
-    def status(seq: int) -> int:
-        out = node.handle(node.context.now, t.ReportReceived(1, report._replace(seq=seq)))
-        return next(e.status for e in out if isinstance(e, t.ReportAnswer))
+    def answer_status(seq: int) -> int:
+        effects = node.handle(node.context.now, t.ReportReceived(1, report._replace(seq=seq)))
+        return next(e.status for e in effects if isinstance(e, t.ReportAnswer))
 
     world.run(3.0)
     report = report._replace(seq=machine.seq + 1)
     node.fleet.commands.suspect(machine)
-    assert status(report.seq) == 200, "for a while"
+    assert answer_status(report.seq) == 200, "reports are answered for a while"
     machine.suspected_at = Instant(node.context.now - node.fleet.silence_limit_s() - 0.1)
-    answered = machine.last_answer
-    assert status(report.seq + 1) == 503 and machine.last_answer == answered
+    last_answer_at = machine.last_answer
+    assert answer_status(report.seq + 1) == 503 and machine.last_answer == last_answer_at
 
 
-def test_orders_of_an_answer_that_left_no_trace_raise_a_doubt() -> None:
+def test_orders_in_an_answer_that_leave_no_trace_make_the_machine_suspected() -> None:
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
@@ -149,7 +148,7 @@
 
 
 @CLUSTER_SIZES
-def test_a_node_alone_with_its_workers_stops_and_comes_back(members: tuple[str, ...]) -> None:
+def test_node_isolated_with_its_workers_stops_and_recovers(members: tuple[str, ...]) -> None:
     world = World(machines=5, members=members, lease_s=10.0)
     world.run(4.0)
     for n in range(4):
@@ -165,7 +164,7 @@
     world.run(node.authority.ttl + node.authority.grant_s + 0.5)
     assert not node.authority.entitled()
     health = [e for e in node.handle(world.now, t.Health(1)) if isinstance(e, t.UserAnswer)]
-    assert health[0].status == 503, "the others can be assumed to serve"
+    assert health[0].status == 503, "the other nodes can be assumed to serve"
     other = world.nodes[members[1]]
     assert other is not None
     world.until(lambda: all(other.shares.living_owner(s) not in (None, "n0") for s in shares), 10)
@@ -173,5 +172,5 @@
     assert len(world.on_machines()) == 4
     world.cut_links.clear()
     world.run(20.0)
-    assert world.nodes["n0"].shares.owned, "its share is given back"  # type: ignore[union-attr]
+    assert world.nodes["n0"].shares.owned, "its share is handed back"  # type: ignore[union-attr]
     assert len(world.on_machines()) == 4 and not world.violations
