--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 from runcourse.errors import SettingsError
 
 ROOT = Path(__file__).resolve().parent.parent
-GOOD = SETTINGS.format(api=1, internal=2, cloud=3, state=4)
+VALID_SETTINGS = SETTINGS.format(api=1, internal=2, cloud=3, state=4)
 
 
 @pytest.mark.parametrize(
@@ -30,7 +30,7 @@
     tmp_path: Path, before: str, after: str, field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "s.toml"
-    path.write_text(GOOD.replace(before, after, 1))
+    path.write_text(VALID_SETTINGS.replace(before, after, 1))
     with pytest.raises(SettingsError) as caught:
         load_platform(path)
     assert str(path) in str(caught.value) and field in str(caught.value)
@@ -57,7 +57,7 @@
 
 def test_good_files(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
-    path.write_text(GOOD + "\nunknown = 1\n")
+    path.write_text(VALID_SETTINGS + "\nunknown = 1\n")
     assert load_platform(path).settings.workers.lease_s == 3.0
     operators = tmp_path / "o.sexp"
     operators.write_text("(runcourse (sample 8) (headroom 1.5))")
--- a/tests/test_locality_settings.py
+++ b/tests/test_locality_settings.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 from standins import Standins
-from test_config import GOOD
+from test_config import VALID_SETTINGS
 from world import platform
 
 from runcourse.cli import main
@@ -88,7 +88,7 @@
 
 def test_check_config_reports_an_invalid_locality_file(tmp_path: Path, capsys: Any) -> None:
     config = tmp_path / "s.toml"
-    config.write_text(GOOD, encoding="utf-8")
+    config.write_text(VALID_SETTINGS, encoding="utf-8")
     command = ["check-config", "--config", str(config), "--locality"]
     assert main([*command, str(write_file(tmp_path, "(locality (weight 1))"))]) == 0
     assert main([*command, str(write_file(tmp_path, "(locality (weight x))"))]) == 2
