--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -8,7 +8,7 @@
 from test_cloud import leader
 from test_failures import ready
 from test_guards import owner_and_machine
-from test_sockets import BEAT, serve
+from test_sockets import REPORT_PATH, serve
 from world import World, platform, spec
 
 from runcourse.config import Operators
@@ -458,7 +458,7 @@
         kept_counts: dict[int, int] = dict.fromkeys(range(12), 0)
         for _ in range(12 * CLOSED_PER_ROTATION):
             for number, worker in enumerate(workers):
-                assert (await worker.request("POST", BEAT, b"x", 5.0))[0] == 200
+                assert (await worker.request("POST", REPORT_PATH, b"x", 5.0))[0] == 200
                 kept_counts[number] += bool(worker._idle) and not worker._idle[0].reader.at_eof()
             assert server.limited_open <= 5
         assert min(kept_counts.values()) > 0.25 * max(kept_counts.values()), kept_counts
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -21,7 +21,7 @@
 from runcourse.net.peers import MAX_QUEUED_BYTES, MAX_UNSENT_BYTES, _Outbound
 from runcourse.wire.peer_messages import MachineLoad, ShareLoad, encode
 
-BEAT = "/agent/beat"
+REPORT_PATH = "/agent/beat"
 
 
 @pytest.mark.parametrize("limit", [16, 100, 800, 1024, 1339, 2049, 20_000])
@@ -40,7 +40,7 @@
         async def handler(method: str, target: str, body: bytes) -> Reply:
             return Reply(200, target.encode())
 
-        server = Server(handler, limit, BEAT, crowd)
+        server = Server(handler, limit, REPORT_PATH, crowd)
         await server.start("127.0.0.1", 0)
         try:
             async with asyncio.timeout(20):
@@ -57,7 +57,7 @@
         users = [Client("127.0.0.1", port, limit=1) for _ in range(3)]
         for _ in range(2):
             for worker in workers:
-                assert (await worker.request("POST", BEAT, b"x", 5.0))[0] == 200
+                assert (await worker.request("POST", REPORT_PATH, b"x", 5.0))[0] == 200
                 assert server.limited_open <= 5 and server.open <= 8
             for user in users:
                 assert (await user.request("GET", "/healthz", None, 5.0))[0] == 200
