--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -8,7 +8,7 @@
 from test_cloud import leader
 from test_failures import ready
 from test_guards import owner_and_machine
-from test_sockets import REPORT_PATH, serve
+from test_sockets import REPORT_PATH, run_with_server
 from world import World, platform, spec
 
 from runcourse.config import Operators
@@ -465,7 +465,7 @@
         for worker in workers:
             worker.close()
 
-    serve(16, 5, send_reports)
+    run_with_server(16, 5, send_reports)
 
 
 # --- whole system ------------------------------------------------------------------------
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -35,7 +35,9 @@
         assert parts.commands + parts.kept + parts.served + fixed <= limit
 
 
-def serve(limit: int, crowd: int, story: Callable[[Server, int], Awaitable[None]]) -> None:
+def run_with_server(
+    limit: int, crowd: int, story: Callable[[Server, int], Awaitable[None]]
+) -> None:
     async def main() -> None:
         async def handler(method: str, target: str, body: bytes) -> Reply:
             return Reply(200, target.encode())
@@ -64,7 +66,7 @@
         for client in (*workers, *users):
             client.close()
 
-    serve(8, 5, story)
+    run_with_server(8, 5, story)
 
 
 def test_the_oldest_idle_connection_makes_room_for_a_new_one() -> None:
@@ -79,7 +81,7 @@
         for client in clients:
             client.close()
 
-    serve(4, 2, story)
+    run_with_server(4, 2, story)
 
 
 def test_a_request_whose_time_has_passed_does_not_leave() -> None:
@@ -91,7 +93,7 @@
         assert (await client.request("POST", "/do", b"x", 5.0, until=now + 60))[0] == 200
         client.close()
 
-    serve(4, 2, story)
+    run_with_server(4, 2, story)
 
 
 def test_a_retired_client_keeps_no_connection() -> None:
@@ -105,7 +107,7 @@
         with contextlib.suppress(OSError):
             client.close()
 
-    serve(4, 2, story)
+    run_with_server(4, 2, story)
 
 
 def test_calls_to_the_cloud_that_fell_due_in_a_pause_do_not_go_at_once() -> None:
