--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Faulty settings name file, field and reason; the exit code is 2."""
+"""Errors in settings files name the file, the field and the reason; the exit code is 2."""
 
 import subprocess
 import tomllib
@@ -26,7 +26,7 @@
         ("[settings]", "[settings", "file"),
     ],
 )
-def test_faults_of_the_platforms_file(
+def test_invalid_platform_file_is_refused_with_file_and_field(
     tmp_path: Path, before: str, after: str, field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "s.toml"
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "part"),
+    ("text", "message_part"),
     [
         ("(runcourse (sample 1))", "sample"),
         ("(runcourse (colour 1))", "colour"),
@@ -48,14 +48,16 @@
         ("(runcourse (sync-every", "S-expression"),
     ],
 )
-def test_faults_of_the_operators_file(tmp_path: Path, text: str, part: str) -> None:
+def test_invalid_operators_file_is_refused_with_reason(
+    tmp_path: Path, text: str, message_part: str
+) -> None:
     path = tmp_path / "o.sexp"
     path.write_text(text)
-    with pytest.raises(SettingsError, match=part):
+    with pytest.raises(SettingsError, match=message_part):
         load_operators(path)
 
 
-def test_good_files(tmp_path: Path) -> None:
+def test_valid_files_are_accepted_and_unknown_fields_ignored(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(VALID_SETTINGS + "\nunknown = 1\n")
     assert load_platform(path).settings.workers.lease_s == 3.0
@@ -66,30 +68,32 @@
 
 
 @pytest.mark.parametrize(
-    ("install", "compiles", "works"),
+    ("install_status", "compile_status", "succeeds"),
     [(0, 0, True), (0, 1, True), (1, 0, False)],
     ids=["good", "no byte code", "no install"],
 )
-def test_a_failed_install_fails_the_build(
-    tmp_path: Path, install: int, compiles: int, works: bool
+def test_failed_install_fails_the_build(
+    tmp_path: Path, install_status: int, compile_status: int, succeeds: bool
 ) -> None:
-    """The compile step after it used to hide that."""
+    """Guards against a build that succeeds although its install step failed: the exit status of
+    the compile step after it used to replace that of the install step."""
     build = tomllib.loads((ROOT / "deploy" / "service.toml").read_text("utf-8"))["build"]
     (tmp_path / "requirements.txt").write_text("", "utf-8")
-    fake = tmp_path / "bin" / "python3"
-    fake.parent.mkdir()
-    fake.write_text(
+    python_stub = tmp_path / "bin" / "python3"
+    python_stub.parent.mkdir()
+    python_stub.write_text(
         '#!/bin/sh\ncase "$*" in\n'
-        f'*"pip install"*) mkdir -p target/deps; exit {install};;\n'
-        f"*) exit {compiles};;\nesac\n",
+        f'*"pip install"*) mkdir -p target/deps; exit {install_status};;\n'
+        f"*) exit {compile_status};;\nesac\n",
         "utf-8",
     )
-    fake.chmod(0o755)
-    for _ in range(2):  # the second time as well: a half-made folder is no success
-        ended = subprocess.run(
+    python_stub.chmod(0o755)
+    # The second build must end the same way: a partly filled directory is no finished install.
+    for _ in range(2):
+        result = subprocess.run(
             ["/bin/sh", "-c", build],
             cwd=tmp_path,
             check=False,
-            env={"PATH": f"{fake.parent}:/usr/bin:/bin", "PWD": str(tmp_path)},
+            env={"PATH": f"{python_stub.parent}:/usr/bin:/bin", "PWD": str(tmp_path)},
         )
-        assert (ended.returncode == 0) is works
+        assert (result.returncode == 0) is succeeds
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between controllers: their bytes, and what is not one of them."""
+"""Messages between controllers: their encoding, and malformed lines."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
     "i-1", "h:1", "m4", "a", False, 1, 7, 5, None, [[["j-000001", 2], 3, "running", "", False]],
 ]  # fmt: skip
 
-# As the version in production spells them.
-SPELLINGS: list[tuple[Any, dict[str, Any]]] = [
+# Each message, and its encoding in the version in production.
+ENCODINGS: list[tuple[Any, dict[str, Any]]] = [
     (
         p.Heartbeat(True, {JobId("j-000001"): 2}, ["i-1"], 9),
         {
@@ -135,21 +135,21 @@
 ]
 
 
-@pytest.mark.parametrize(("message", "spelled"), SPELLINGS, ids=lambda v: str(v)[:24])
-def test_each_kind_is_spelled_as_in_production(message: Any, spelled: dict[str, Any]) -> None:
-    assert msgspec.json.decode(p.encode(message)) == spelled
-    assert p.decode(msgspec.json.encode({**spelled, "later": "field"})) == message
+@pytest.mark.parametrize(("message", "encoded"), ENCODINGS, ids=lambda v: str(v)[:24])
+def test_each_kind_is_encoded_as_in_production(message: Any, encoded: dict[str, Any]) -> None:
+    assert msgspec.json.decode(p.encode(message)) == encoded
+    assert p.decode(msgspec.json.encode({**encoded, "later": "field"})) == message
 
 
-def test_every_kind_is_among_the_spellings() -> None:
-    assert {type(message) for message, _ in SPELLINGS} == set(p.PeerMessage.__args__)
+def test_every_kind_is_among_the_encodings() -> None:
+    assert {type(message) for message, _ in ENCODINGS} == set(p.PeerMessage.__args__)
 
 
-def test_fields_that_a_former_version_does_not_send_have_defaults() -> None:
-    hello = p.decode(b'{"t":"hello","contact":true,"running":{},"silent":[]}')
-    assert isinstance(hello, p.Heartbeat) and hello.applied is None
-    old = {k: v for k, v in ENTRY_MAP.items() if k not in ("block", "room")}
-    load = {"t": "load", "share": 0, "used": 0.0, "machines": {}, "needs": [old]}
+def test_fields_that_an_older_version_does_not_send_have_defaults() -> None:
+    heartbeat = p.decode(b'{"t":"hello","contact":true,"running":{},"silent":[]}')
+    assert isinstance(heartbeat, p.Heartbeat) and heartbeat.applied is None
+    old_entry = {k: v for k, v in ENTRY_MAP.items() if k not in ("block", "room")}
+    load = {"t": "load", "share": 0, "used": 0.0, "machines": {}, "needs": [old_entry]}
     message = p.decode(msgspec.json.encode(load))
     assert isinstance(message, p.ShareLoad) and not message.needs[0].block
 
@@ -165,13 +165,13 @@
         (b"\xff\xfe", p.UNKNOWN_KIND),
     ],
 )
-def test_a_faulty_line_names_the_kind_it_is_logged_under(line: bytes, kind: str) -> None:
+def test_malformed_line_raises_an_error_that_names_its_kind(line: bytes, kind: str) -> None:
     with pytest.raises(p.MalformedPeerMessage) as raised:
         p.decode(line)
     assert raised.value.kind == kind
 
 
-def test_faulty_lines_are_counted_logged_once_a_kind_and_ignored(
+def test_malformed_lines_are_ignored_counted_and_logged_once_per_kind(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     received: list[p.PeerMessage] = []
@@ -188,16 +188,16 @@
         lines = [b'{"member":"n1"}', b'{"t":"mystery"}', b"{", b'{"t":"vouch"}', b'{"t":"sync"}']
         reader.feed_data(b"\n".join(lines) + b"\n")
         reader.feed_eof()
-        await links._serve(reader, _NoWriter())  # type: ignore[arg-type]
+        await links._serve(reader, _StubWriter())  # type: ignore[arg-type]
         return links
 
     with caplog.at_level(logging.WARNING):
         links = asyncio.run(main())
-    assert received == [p.SyncRequest()], "what follows faulty lines is read"
+    assert received == [p.SyncRequest()], "lines after malformed ones are read"
     assert links.malformed == {p.UNKNOWN_KIND: 2, "vouch": 1}
     assert len(caplog.records) == 2
 
 
-class _NoWriter:
+class _StubWriter:
     def close(self) -> None:
-        """There is nothing to close."""
+        """Does nothing: there is no connection."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages as PROTOCOL prints them."""
+"""Encoding and decoding of messages, with the examples in PROTOCOL."""
 
 import pytest
 
@@ -30,7 +30,7 @@
     "mark_cost_s": 4.0,
     "due_s": 900.0,
 }
-BEAT = {
+REPORT = {
     "host": "i-000231",
     "addr": "10.1.0.232:9000",
     "hull": "g8",
@@ -47,60 +47,61 @@
 }
 
 
-def test_a_submission_and_back() -> None:
+def test_submission_is_decoded_and_encoded_again() -> None:
     spec = wire.decode_submission(codec.decode_map(codec.encode(JOB)))
     assert (spec.tasks, spec.rank, spec.types, spec.deadline_s) == (16, 1, ("g8",), 900.0)
     assert wire.job_body(spec) == JOB
 
 
-def test_null_equals_omitted_and_unknown_is_ignored() -> None:
+def test_null_in_a_submission_equals_omission_and_unknown_fields_are_ignored() -> None:
     body = {k: v for k, v in JOB.items() if k != "yard"} | {"colour": "red"}
     assert wire.decode_submission(body) == wire.decode_submission(
         codec.decode_map(codec.encode(JOB))
     )
 
 
-def test_a_report() -> None:
-    report = wire.decode_report(codec.encode(BEAT))
+def test_report_is_decoded() -> None:
+    report = wire.decode_report(codec.encode(REPORT))
     assert (report.session, report.seq, report.token, report.notice_s) == (1, 88, 41, None)
     assert report.tasks[0] == t.TaskReport(TaskId(JobId("j-000412"), 3), Attempt(2), "running")
     assert (report.tasks[1].stage, report.tasks[1].cause) == ("ended", "done")
 
 
-def test_a_list_of_tasks_that_was_read_before_is_not_read_again() -> None:
-    """To the byte the same, it means the same; anything else is read, and long ones each time."""
+def test_repeated_list_of_tasks_is_decoded_once_unless_it_is_long() -> None:
+    """The result for a list with the same bytes is reused; any other list is decoded, and a long
+    one each time."""
     legs = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(4)]
-    first = wire.decode_report(codec.encode({**BEAT, "legs": legs}))
-    later = wire.decode_report(codec.encode({**BEAT, "tick": 90, "legs": legs}))
+    first = wire.decode_report(codec.encode({**REPORT, "legs": legs}))
+    later = wire.decode_report(codec.encode({**REPORT, "tick": 90, "legs": legs}))
     assert later.tasks is first.tasks and later.seq == 90
-    changed = [{**legs[0], "stage": "flushing"}, *legs[1:]]
-    other = wire.decode_report(codec.encode({**BEAT, "legs": changed}))
+    changed_legs = [{**legs[0], "stage": "flushing"}, *legs[1:]]
+    other = wire.decode_report(codec.encode({**REPORT, "legs": changed_legs}))
     assert [e.stage for e in other.tasks] == ["saving", *["running"] * 3]
-    many = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(400)]
-    long = [wire.decode_report(codec.encode({**BEAT, "legs": many})) for _ in range(2)]
-    assert long[0].tasks == long[1].tasks and long[0].tasks is not long[1].tasks
-    assert len(long[0].tasks) == 400
+    many_legs = [{"leg": f"j-{n:06d}/3", "try": 2, "stage": "running"} for n in range(400)]
+    reports = [wire.decode_report(codec.encode({**REPORT, "legs": many_legs})) for _ in range(2)]
+    assert reports[0].tasks == reports[1].tasks and reports[0].tasks is not reports[1].tasks
+    assert len(reports[0].tasks) == 400
 
 
 @pytest.mark.parametrize("legs", [[{"leg": "j-1", "try": 1}], [{"leg": "j-1/x", "try": 1}], 3])
-def test_a_malformed_report(legs: object) -> None:
+def test_malformed_report_is_refused(legs: object) -> None:
     with pytest.raises(codec.Malformed):
-        wire.decode_report(codec.encode({**BEAT, "legs": legs}))
+        wire.decode_report(codec.encode({**REPORT, "legs": legs}))
 
 
-def test_nulls_in_a_report_equal_omissions() -> None:
-    bare = {k: BEAT[k] for k in ("host", "tenure", "tick")}
-    nulls = {**dict.fromkeys(BEAT), **bare}
-    assert wire.decode_report(codec.encode(nulls)) == wire.decode_report(codec.encode(bare))
+def test_null_in_a_report_equals_omission() -> None:
+    required = {k: REPORT[k] for k in ("host", "tenure", "tick")}
+    nulls = {**dict.fromkeys(REPORT), **required}
+    assert wire.decode_report(codec.encode(nulls)) == wire.decode_report(codec.encode(required))
     with pytest.raises(codec.Malformed):
-        wire.decode_report(codec.encode([bare]))
+        wire.decode_report(codec.encode([required]))
 
 
-def test_tokens_may_be_large() -> None:
-    assert wire.decode_report(codec.encode({**BEAT, "baton": 2**63 + 5})).token == 2**63 + 5
+def test_tokens_above_2_to_the_63_are_decoded() -> None:
+    assert wire.decode_report(codec.encode({**REPORT, "baton": 2**63 + 5})).token == 2**63 + 5
 
 
-def test_orders() -> None:
+def test_orders_are_encoded_in_answers_and_commands() -> None:
     task = TaskId(JobId("j-000377"), 1)
     orders = [
         t.Order("start", task, Attempt(2)),
@@ -118,7 +119,7 @@
     assert wire.commands(Token(41), Session(1), [])["tenure"] == 1
 
 
-def test_state_service_messages() -> None:
+def test_state_service_messages_are_encoded_and_decoded() -> None:
     changes, epoch = state_messages.decode_events(
         codec.encode(
             {
