--- a/runcourse/client.py
+++ b/runcourse/client.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .config import address
+from .config import parse_address
 from .errors import SettingsError
 from .net.http import Client, NotSent, Unanswered
 from .wire import codec
@@ -25,7 +25,7 @@
 def run_client(command: str, api: str, what: str) -> int:
     """Send one request of a user and print the answer; returns the exit code."""
     try:
-        host, port = address(api, "--api")
+        host, port = parse_address(api, "--api")
         method, target, body = _request(command, what)
     except (SettingsError, OSError, msgspec.DecodeError) as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
@@ -66,7 +66,7 @@
 def _ask_or_report(internal: str, question: str) -> dict[str, Any] | int:
     """The answer, or the exit code after the reason was printed."""
     try:
-        return ask(*address(internal, "--internal"), OperatorQuestion(question))
+        return ask(*parse_address(internal, "--internal"), OperatorQuestion(question))
     except SettingsError as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
         return EXIT_USAGE
--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -184,7 +184,7 @@
     image_weight: Annotated[float, Meta(ge=0)] = 100.0  # score of an image already held, per fetch
 
 
-def address(text: str, where: str) -> tuple[str, int]:
+def parse_address(text: str, where: str) -> tuple[str, int]:
     """Host and port of an address; `where` names the field in an error."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -211,7 +211,7 @@
         ("services.state", platform.services.state),
         *((f"peers[{n}].addr", p.addr) for n, p in enumerate(platform.peers)),
     ]:
-        address(text, f"{path}: {where}")
+        parse_address(text, f"{path}: {where}")
     names = [platform.member, *(p.member for p in platform.peers)]
     if len(set(names)) != len(names):
         raise SettingsError(f"{path}: peers: a member is named twice")
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from .config import Operators, Platform, address
+from .config import Operators, Platform, parse_address
 from .core import types
 from .core.entitlement import EntitlementPolicy
 from .core.ids import Instant, Member
@@ -85,13 +85,13 @@
             policy_file.make() if policy_file else None,
             entitlements,
         )
-        self._state = StateService(*address(platform.services.state, "services.state"))
+        self._state = StateService(*parse_address(platform.services.state, "services.state"))
         self._cloud = Cloud(
-            *address(platform.services.cloud, "services.cloud"), platform.settings.cloud.rps
+            *parse_address(platform.services.cloud, "services.cloud"), platform.settings.cloud.rps
         )
         sockets = platform.settings.quota.sockets(platform.settings.nodes)
         self._workers = Workers(sockets.kept)
-        peers = {Member(peer.member): address(peer.addr, "peers") for peer in platform.peers}
+        peers = {Member(peer.member): parse_address(peer.addr, "peers") for peer in platform.peers}
         self._links = PeerLinks(
             Member(platform.member),
             peers,
@@ -119,8 +119,8 @@
 
     async def start(self) -> None:
         """Opens the listening sockets."""
-        await self._server.start(*address(self._platform.api_addr, "api_addr"))
-        await self._links.start(*address(self._platform.internal_addr, "internal_addr"))
+        await self._server.start(*parse_address(self._platform.api_addr, "api_addr"))
+        await self._links.start(*parse_address(self._platform.internal_addr, "internal_addr"))
         # A program that runs a controller in a thread keeps its own signal handlers.
         in_main_thread = threading.current_thread() is threading.main_thread()
         if self._policy_file is not None and in_main_thread:
--- a/runcourse/division_client.py
+++ b/runcourse/division_client.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from .client import EXIT_REFUSED, EXIT_UNREACHABLE, EXIT_USAGE, ask
-from .config import address
+from .config import parse_address
 from .errors import SettingsError
 from .wire.peer_messages import OperatorQuestion
 
@@ -69,7 +69,7 @@
 def run_division(args: argparse.Namespace) -> int:
     """Run one of the commands; returns the exit code."""
     try:
-        host, port = address(args.internal, "--internal")
+        host, port = parse_address(args.internal, "--internal")
         if args.action == "watch":
             return _watch(host, port, args.seconds)
         answer = _ask_leader(host, port, _call(args))
@@ -114,7 +114,7 @@
     looking = call["action"] in ("show", "preview")
     if looking and answer.get("result") == "ok" and leader and leader != f"{host}:{port}":
         try:
-            return _ask(*address(leader, "leader"), call)
+            return _ask(*parse_address(leader, "leader"), call)
         except (OSError, msgspec.DecodeError, SettingsError):
             return answer  # it is out of reach from here, or has just ended
     return answer
