--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -82,7 +82,7 @@
             operators,
             rng or random.Random(),
             Instant(self._loop.time()),
-            policy_file.make() if policy_file else None,
+            policy_file.create_policy() if policy_file else None,
             entitlements,
         )
         self._state = StateService(*parse_address(platform.services.state, "services.state"))
--- a/runcourse/policy_file.py
+++ b/runcourse/policy_file.py
@@ -26,7 +26,7 @@
 
         return load_locality(self.path, self.platform)
 
-    def make(self) -> PlacementPolicy:
+    def create_policy(self) -> PlacementPolicy:
         """The policy, with the settings that were read first."""
         from .locality.policy import LocalityPolicy
 
--- a/tests/test_locality_settings.py
+++ b/tests/test_locality_settings.py
@@ -98,7 +98,7 @@
 def test_invalid_new_file_leaves_the_old_settings_in_force(tmp_path: Path) -> None:
     path = write_file(tmp_path, VALID_FILE)
     file = PolicyFile(path, platform("n0"))
-    policy = file.make()
+    policy = file.create_policy()
     write_file(tmp_path, VALID_FILE.replace("2.5", "nothing"))
     with pytest.raises(SettingsError):
         file.load()
