--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Starts runcourse from a checkout; everything else lives in the package."""
+"""Runs the command line from a checkout, with the dependencies installed in target/deps."""
 
 import sys
 from pathlib import Path
--- a/runcourse/__main__.py
+++ b/runcourse/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line with `python -m runcourse`."""
+"""Runs the command line for `python -m runcourse`."""
 
 import sys
 
--- a/runcourse/cli.py
+++ b/runcourse/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check-config, and a small client."""
+"""The command line: the controller itself, a check of its settings, and client commands."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 if TYPE_CHECKING:
     from .core.entitlement import EntitlementPolicy
 
+EXIT_FAILED = 1
 EXIT_USAGE = 2
+EXIT_INTERRUPTED = 130  # 128 plus the number of SIGINT
+DEFAULT_WATCH_S = 120.0
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="runcourse", description="A cluster scheduler.")
     commands = parser.add_subparsers(dest="command", required=True)
     for name, text in [
@@ -36,19 +39,22 @@
             help="the platform's settings file (TOML)",
         )
         command.add_argument(
-            "--operators", type=Path, metavar="FILE", help="operators' own settings (S-expressions)"
+            "--operators",
+            type=Path,
+            metavar="FILE",
+            help="the operators' settings file (S-expressions)",
         )
         command.add_argument(
             "--locality",
             type=Path,
             metavar="FILE",
-            help="data sources and rebalancing; off if absent",
+            help="the locality settings file: data sources and rebalancing; off if not given",
         )
         command.add_argument(
             "--entitlements",
             type=Path,
             metavar="FILE",
-            help="organisations that share the machines; off if absent",
+            help="the entitlements file: organisations that share the machines; off if not given",
         )
     for name, text in [
         ("submit", "submit a job read from a JSON file"),
@@ -63,32 +69,32 @@
             "what",
             help="a JSON file, or - for standard input" if name == "submit" else "the job's id",
         )
-    command = commands.add_parser("reload", help="have a controller read its locality file again")
+    command = commands.add_parser("reload", help="reload a controller's locality file")
     command.add_argument(
         "--internal", required=True, metavar="HOST:PORT", help="a controller's internal_addr"
     )
     command = commands.add_parser(
         "inspect",
-        help="print a controller's view: shares, owners, machines, waiting work and why it waits",
+        help="print a controller's shares, owners, machines and waiting work with the reasons",
     )
     command.add_argument(
         "--internal", required=True, metavar="HOST:PORT", help="a controller's internal_addr"
     )
-    command.add_argument("--json", action="store_true", help="for programs, instead of tables")
-    _add_division(commands)
+    command.add_argument("--json", action="store_true", help="print JSON instead of tables")
+    _add_division_parser(commands)
     return parser
 
 
-def _add_division(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """`division`: show, preview, apply, rollback, watch."""
+def _add_division_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Adds the `division` command and its actions."""
     division = commands.add_parser("division", help="the division of machines among organisations")
     actions = division.add_subparsers(dest="action", required=True)
     for name, text in [
-        ("show", "print the division in force and how each organisation fares"),
-        ("preview", "print the targets that a division would give now"),
+        ("show", "print the division in force and the state of each organisation"),
+        ("preview", "print the targets that a division would result in now"),
         ("apply", "put a division in force"),
-        ("rollback", "put the former division in force again"),
-        ("watch", "show how the organisations come to their targets"),
+        ("rollback", "put the previous division in force again"),
+        ("watch", "show the organisations until all have reached their targets"),
     ]:
         action = actions.add_parser(name, help=text, description=text)
         action.add_argument(
@@ -98,17 +104,25 @@
             action.add_argument("file", help="the division (JSON), or - for standard input")
         if name in ("apply", "rollback"):
             action.add_argument(
-                "--expect", type=int, required=True, metavar="VERSION", help="now in force"
+                "--expect",
+                type=int,
+                required=True,
+                metavar="VERSION",
+                help="the version now in force",
+            )
+            action.add_argument(
+                "--author", default="", help="defaults to the name of the current user"
             )
-            action.add_argument("--author", default="", help="by default the user's name")
-            action.add_argument("--note", default="", help="why; kept with the division")
+            action.add_argument("--note", default="", help="the reason; stored with the division")
         if name == "watch":
-            action.add_argument("--seconds", type=float, default=120.0, help="at the most")
+            action.add_argument(
+                "--seconds", type=float, default=DEFAULT_WATCH_S, help="stop after this time"
+            )
         else:
-            action.add_argument("--json", action="store_true", help="for programs")
+            action.add_argument("--json", action="store_true", help="print JSON")
 
 
-def _logging() -> None:
+def _configure_logging() -> None:
     level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s"
@@ -117,9 +131,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command; returns the process's exit code."""
-    args = _parser().parse_args(argv)
-    _logging()
+    """Runs one command and returns the process's exit code."""
+    args = _build_parser().parse_args(argv)
+    _configure_logging()
     try:
         if args.command == "serve":
             return _serve(args)
@@ -128,7 +142,7 @@
             load_operators(args.operators)
             if args.locality is not None:
                 PolicyFile(args.locality, platform)
-            _entitlements(args.entitlements, platform)
+            _load_entitlements(args.entitlements, platform)
             print("settings are fine")
             return 0
     except SettingsError as problem:
@@ -147,8 +161,11 @@
     return run_client(args.command, args.api, args.what)
 
 
-def _entitlements(path: Path | None, platform: Platform) -> EntitlementPolicy | None:
-    """The policy of the file, imported only if one is named."""
+def _load_entitlements(path: Path | None, platform: Platform) -> EntitlementPolicy | None:
+    """Returns the policy that the file describes, or None without a file.
+
+    The modules of the policy are imported only if there is a file.
+    """
     if path is None:
         return None
     from .entitlements.policy import Entitlements
@@ -161,7 +178,7 @@
     platform = load_platform(args.config)
     operators = load_operators(args.operators)
     policy_file = PolicyFile(args.locality, platform) if args.locality is not None else None
-    entitlements = _entitlements(args.entitlements, platform)
+    entitlements = _load_entitlements(args.entitlements, platform)
     import uvloop
 
     from .daemon import Daemon
@@ -172,8 +189,8 @@
     try:
         uvloop.run(run())
     except KeyboardInterrupt:
-        return 130
+        return EXIT_INTERRUPTED
     except OSError as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
-        return 1
+        return EXIT_FAILED
     return 0
--- a/runcourse/client.py
+++ b/runcourse/client.py
@@ -1,4 +1,7 @@
-"""The client commands: submit, status, cancel. Exit code 0 only for an answered request."""
+"""Client commands: submit, status, cancel, inspect and reload.
+
+The exit code is 0 only if the controller answered and accepted the request.
+"""
 
 from __future__ import annotations
 
@@ -20,18 +23,21 @@
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
 EXIT_UNREACHABLE = 3
+CONNECT_TIMEOUT_S = 3.0
+REQUEST_TIMEOUT_S = 10.0
+OPERATOR_TIMEOUT_S = 5.0  # for connecting, and for each read and write
 
 
 def run_client(command: str, api: str, what: str) -> int:
-    """Send one request of a user and print the answer; returns the exit code."""
+    """Sends one request of a user, prints the answer and returns the exit code."""
     try:
         host, port = parse_address(api, "--api")
-        method, target, body = _request(command, what)
+        method, target, body = _build_request(command, what)
     except (SettingsError, OSError, msgspec.DecodeError) as problem:
         print(f"runcourse: {problem}", file=sys.stderr)
         return EXIT_USAGE
     try:
-        status, answer = asyncio.run(_send(host, port, method, target, body))
+        status, answer = asyncio.run(_send_request(host, port, method, target, body))
     except (NotSent, Unanswered) as problem:
         print(f"runcourse: no answer: {problem}", file=sys.stderr)
         return EXIT_UNREACHABLE
@@ -46,7 +52,8 @@
     return 0
 
 
-def _request(command: str, what: str) -> tuple[str, str, Any]:
+def _build_request(command: str, what: str) -> tuple[str, str, Any]:
+    """Returns method, path and body; `what` is a file name or `-` for submit, else a job's id."""
     if command == "submit":
         text = sys.stdin.read() if what == "-" else Path(what).read_text(encoding="utf-8")
         return "POST", "/v1/jobs", msgspec.json.decode(text)
@@ -56,15 +63,18 @@
 
 
 def ask(host: str, port: int, question: OperatorQuestion) -> dict[str, Any]:
-    """Ask a controller's internal address; one JSON line each way."""
-    with socket.create_connection((host, port), timeout=5.0) as link:
-        link.sendall(msgspec.json.encode(question) + b"\n")
-        with link.makefile("rb") as answer:
+    """Sends a question to a controller's internal address and returns the answer.
+
+    Question and answer are one line of JSON each. Raises `OSError` or `msgspec.DecodeError`.
+    """
+    with socket.create_connection((host, port), timeout=OPERATOR_TIMEOUT_S) as connection:
+        connection.sendall(msgspec.json.encode(question) + b"\n")
+        with connection.makefile("rb") as answer:
             return msgspec.json.decode(answer.readline(), type=dict[str, Any])
 
 
-def _ask_or_report(internal: str, question: str) -> dict[str, Any] | int:
-    """The answer, or the exit code after the reason was printed."""
+def _ask_or_print_error(internal: str, question: str) -> dict[str, Any] | int:
+    """Returns the answer, or prints the error and returns the exit code."""
     try:
         return ask(*parse_address(internal, "--internal"), OperatorQuestion(question))
     except SettingsError as problem:
@@ -76,8 +86,8 @@
 
 
 def run_inspect(internal: str, as_json: bool) -> int:
-    """Print a controller's view of the service; returns the exit code."""
-    status = _ask_or_report(internal, "status")
+    """Prints the status that a controller reports and returns the exit code."""
+    status = _ask_or_print_error(internal, "status")
     if isinstance(status, int):
         return status
     if as_json:
@@ -90,8 +100,8 @@
 
 
 def run_reload(internal: str) -> int:
-    """Have a controller read its locality file again; returns the exit code."""
-    answer = _ask_or_report(internal, "reload")
+    """Makes a controller reload its locality file and returns the exit code."""
+    answer = _ask_or_print_error(internal, "reload")
     if isinstance(answer, int):
         return answer
     if "error" in answer:
@@ -101,11 +111,16 @@
     return 0
 
 
-async def _send(host: str, port: int, method: str, target: str, body: Any) -> tuple[int, bytes]:
-    client = Client(host, port, limit=1, connect_s=3.0)
+async def _send_request(
+    host: str, port: int, method: str, target: str, body: Any
+) -> tuple[int, bytes]:
+    client = Client(host, port, limit=1, connect_s=CONNECT_TIMEOUT_S)
     try:
         return await client.request(
-            method, target, codec.encode(body) if body is not None else None, 10.0
+            method,
+            target,
+            codec.encode(body) if body is not None else None,
+            REQUEST_TIMEOUT_S,
         )
     finally:
         client.close()
--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -1,6 +1,6 @@
-"""Settings: the platform's TOML file and the operators' S-expressions, both checked.
+"""Reads and validates the platform's TOML file and the operators' S-expression file.
 
-Every fault is reported as one line naming the file, the field and the reason.
+Each error is one line that names the file, the field and the reason.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from .errors import SettingsError, settings_fault
+from .errors import SettingsError, invalid_settings
 from .sexp_settings import read_entries, to_struct
 
 Name = Annotated[str, Meta(min_length=1)]
@@ -20,6 +20,24 @@
 NonNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
 
+BYTES_PER_KB = 1024
+MAX_PORT = 65535
+
+# Division of the file descriptors, see `Quota.sockets`.
+# Listeners, 14 connections to the state service, 4 to the cloud, 8 of operators, and a few files.
+FIXED_DESCRIPTORS = 40
+DESCRIPTORS_PER_NODE = 4  # two connections to each peer and two from it
+MIN_AVAILABLE_DIVISOR = 4  # at least a quarter of the limit is divided
+MIN_AVAILABLE_DESCRIPTORS = 10
+COMMANDS_DIVISOR = 10
+PROBES_DIVISOR = 20
+KEPT_DIVISOR = 10
+REPORTS_TENTHS = 6
+SERVED_TENTHS = 8
+MIN_COMMAND_SOCKETS = 2
+MIN_PROBE_SOCKETS = 1
+MIN_KEPT_SOCKETS = 2
+
 
 class Peer(Struct, frozen=True):
     """Another controller."""
@@ -30,14 +48,14 @@
 
 
 class Services(Struct, frozen=True):
-    """Addresses of the outside systems."""
+    """Addresses of the cloud and the state service."""
 
     cloud: Name
     state: Name
 
 
 class TeamSettings(Struct, frozen=True):
-    """A team's guarantee and limit; 0 stands for none."""
+    """A team's guarantee and limit; 0 means none."""
 
     name: Name
     cpus: NonNegative = 0.0
@@ -47,7 +65,7 @@
 
 
 class Objective(Struct, frozen=True, rename={"job_class": "class"}):
-    """An aim of the users; what of it a kind needs not is None."""
+    """A service objective; fields that its kind does not use are None."""
 
     kind: Name
     job_class: str | None = None
@@ -57,7 +75,7 @@
 
 
 class WorkerSettings(Struct, frozen=True):
-    """The times of workers and gangs, and the time that a cancellation has."""
+    """Intervals and time limits of workers, cancellations and gangs, in seconds."""
 
     report_s: Positive
     lease_s: Positive
@@ -67,7 +85,7 @@
 
 
 class NextLimits(Struct, frozen=True):
-    """Limits that the state service will have from some moment on; None: as before."""
+    """Limits that the state service will switch to later; None keeps the present one."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -76,7 +94,7 @@
 
 
 class StateSettings(Struct, frozen=True):
-    """The limits of the state service, those of today and those to come."""
+    """The limits of the state service, present and upcoming."""
 
     rps: Positive
     write_rps: Positive
@@ -85,67 +103,77 @@
     next: NextLimits = NextLimits()
 
     def planned(self) -> StateLimits:
-        """What new values, transactions and rates keep to from the start, as the lower limits
-        come without notice."""
-        soon = self.next
+        """Returns the lower of the present and the upcoming limits.
+
+        New values, transactions and rates stay within them from the start, because the upcoming
+        limits take effect without notice.
+        """
+        upcoming = self.next
         return StateLimits(
-            rps=min(self.rps, soon.rps or self.rps),
-            write_rps=min(self.write_rps, soon.write_rps or self.write_rps),
-            value_bytes=int(1024 * min(self.value_kb, soon.value_kb or self.value_kb)),
-            txn_ops=min(self.txn_ops, soon.txn_ops or self.txn_ops),
+            rps=min(self.rps, upcoming.rps or self.rps),
+            write_rps=min(self.write_rps, upcoming.write_rps or self.write_rps),
+            value_bytes=int(BYTES_PER_KB * min(self.value_kb, upcoming.value_kb or self.value_kb)),
+            txn_ops=min(self.txn_ops, upcoming.txn_ops or self.txn_ops),
         )
 
 
 class StateLimits(NamedTuple):
-    """The limits that new requests keep to."""
+    """Limits on requests to the state service."""
 
-    rps: float  # requests a second, of all nodes together
-    write_rps: float  # changes a second, of all nodes together
-    value_bytes: int  # of one value in its JSON form
+    rps: float  # requests per second, all nodes together
+    write_rps: float  # changes per second, all nodes together
+    value_bytes: int  # largest size of one value, encoded as JSON
     txn_ops: int  # changes in one transaction
 
 
 class CloudSettings(Struct, frozen=True):
-    """The rate and the list's lag of the cloud."""
+    """The request rate of the cloud and the time by which its list of machines lags, in seconds."""
 
     rps: Positive
     list_lag_s: NonNegative = 5.0
 
 
 class Sockets(NamedTuple):
-    """How the process's sockets are divided."""
+    """Limits on the process's sockets, by use."""
 
-    commands: int  # to workers, open at once
-    probes: int  # of those, questions to workers that may not answer
-    kept: int  # idle ones to workers
-    reports: int  # of workers
-    served: int  # all that are accepted: reports, users and health checks
+    commands: int  # connections to workers that are open at once
+    probes: int  # the part of `commands` for probes of workers that may not answer
+    kept: int  # idle connections to workers that are kept open
+    reports: int  # accepted connections that carry workers' reports
+    served: int  # all accepted connections: reports, users and health checks
 
 
 class Quota(Struct, frozen=True):
-    """What the platform grants the process."""
+    """The resources that the platform grants the process."""
 
     core_share: Positive = 1.0
     memory_mb: Positive = 256.0
     fd_limit: Annotated[int, Meta(ge=16)] = 1024
 
     def sockets(self, nodes: int) -> Sockets:
-        """Parts the limit. What is fixed comes first: listeners, the state service's 14
-        connections, the cloud's 4, two to and from each peer, operators' 8, and a few files. Of
-        the rest a fifth is for commands to workers, three fifths are for their reports, and
-        a fifth is left for users and health checks, who may use all that workers don't."""
-        rest = max(self.fd_limit - 40 - 4 * nodes, self.fd_limit // 4, 10)
+        """Divides the limit on file descriptors among the uses of sockets.
+
+        The fixed descriptors and those of the peers are deducted first. A fifth of the available
+        ones is for commands to workers, half of it for idle connections; three fifths are for
+        workers' reports. The last fifth is reserved for users and health checks, who may also use
+        whatever the reports leave free.
+        """
+        available = max(
+            self.fd_limit - FIXED_DESCRIPTORS - DESCRIPTORS_PER_NODE * nodes,
+            self.fd_limit // MIN_AVAILABLE_DIVISOR,
+            MIN_AVAILABLE_DESCRIPTORS,
+        )
         return Sockets(
-            commands=max(2, rest // 10),
-            probes=max(1, rest // 20),
-            kept=max(2, rest // 10),
-            reports=rest * 6 // 10,
-            served=rest * 8 // 10,
+            commands=max(MIN_COMMAND_SOCKETS, available // COMMANDS_DIVISOR),
+            probes=max(MIN_PROBE_SOCKETS, available // PROBES_DIVISOR),
+            kept=max(MIN_KEPT_SOCKETS, available // KEPT_DIVISOR),
+            reports=available * REPORTS_TENTHS // 10,
+            served=available * SERVED_TENTHS // 10,
         )
 
 
 class Deployment(Struct, frozen=True):
-    """Everything in the platform's file that is the same on all controllers."""
+    """The part of the platform's file that is the same on all controllers."""
 
     workers: WorkerSettings
     state: StateSettings
@@ -171,29 +199,36 @@
 
 
 class Operators(Struct, frozen=True, rename="kebab"):
-    """The operators' own settings and their defaults. Times in seconds."""
+    """The operators' settings and their defaults; times are in seconds."""
 
-    live_ttl: Annotated[float, Meta(ge=0.5, le=60)] | None = None  # None: from the workers' lease
+    # By default derived from the workers' lease.
+    live_ttl: Annotated[float, Meta(ge=0.5, le=60)] | None = None
     sync_every: Annotated[float, Meta(ge=0.02, le=5)] = 0.2
-    sample: Annotated[int, Meta(ge=2)] = 16  # machines scored for one task when work piles up
-    turn_budget: Annotated[int, Meta(ge=1)] = 2000  # machine scores in one turn before sampling
-    headroom: Annotated[float, Meta(ge=0, le=4)] = 1.0  # factor on the learnt spare room
-    peak_window: Annotated[float, Meta(ge=1)] = 40.0  # what was in use within it is kept
-    idle_return: Annotated[float, Meta(ge=0)] | None = None  # None: from boot time and price
-    gather_weight: Annotated[float, Meta(ge=0)] = 50.0  # of keeping lasting tasks together
-    image_weight: Annotated[float, Meta(ge=0)] = 100.0  # score of an image already held, per fetch
+    # Machines scored per task in a turn that has spent its `turn-budget`.
+    sample: Annotated[int, Meta(ge=2)] = 16
+    # Machine scores in one turn before only samples of the machines are scored.
+    turn_budget: Annotated[int, Meta(ge=1)] = 2000
+    headroom: Annotated[float, Meta(ge=0, le=4)] = 1.0  # factor on the peak demand
+    # Empty machines are kept for the peak demand within this time.
+    peak_window: Annotated[float, Meta(ge=1)] = 40.0
+    # Time before an empty machine is returned; by default derived from boot time and price.
+    idle_return: Annotated[float, Meta(ge=0)] | None = None
+    # Score for placing long-running tasks together.
+    gather_weight: Annotated[float, Meta(ge=0)] = 50.0
+    # Score lost per second until the machine holds the image, and per second of locality costs.
+    image_weight: Annotated[float, Meta(ge=0)] = 100.0
 
 
 def parse_address(text: str, where: str) -> tuple[str, int]:
-    """Host and port of an address; `where` names the field in an error."""
+    """Returns host and port; raises `SettingsError`, which names the field `where`."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"{where}: {text!r} is not an address of the form host:port")
     return host, int(port)
 
 
 def load_platform(path: Path) -> Platform:
-    """Read and check the platform's settings file."""
+    """Reads and validates the platform's settings file; raises `SettingsError`."""
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as problem:
@@ -203,7 +238,7 @@
     try:
         platform = msgspec.convert(raw, Platform, strict=False)
     except msgspec.ValidationError as problem:
-        raise settings_fault(path, problem) from problem
+        raise invalid_settings(path, problem) from problem
     for where, text in [
         ("api_addr", platform.api_addr),
         ("internal_addr", platform.internal_addr),
@@ -214,7 +249,7 @@
         parse_address(text, f"{path}: {where}")
     names = [platform.member, *(p.member for p in platform.peers)]
     if len(set(names)) != len(names):
-        raise SettingsError(f"{path}: peers: a member is named twice")
+        raise SettingsError(f"{path}: peers: duplicate member name")
     if platform.settings.nodes != len(names):
         raise SettingsError(
             f"{path}: settings.nodes: {platform.settings.nodes} nodes, but this node and its"
@@ -222,12 +257,15 @@
         )
     teams = [t.name for t in platform.settings.teams]
     if len(set(teams)) != len(teams):
-        raise SettingsError(f"{path}: settings.teams: a team is named twice")
+        raise SettingsError(f"{path}: settings.teams: duplicate team name")
     return platform
 
 
 def load_operators(path: Path | None) -> Operators:
-    """`(runcourse (name value) ...)`; what is left out keeps its default."""
+    """Reads `(runcourse (name value) ...)`; omitted settings keep their defaults.
+
+    Raises `SettingsError`.
+    """
     if path is None:
         return Operators()
     return to_struct(path, read_entries(path, "runcourse"), Operators)
--- a/runcourse/division_client.py
+++ b/runcourse/division_client.py
@@ -1,4 +1,4 @@
-"""The commands of `division`: show, preview, apply, rollback, watch."""
+"""The actions of the `division` command: show, preview, apply, rollback, watch."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 from .errors import SettingsError
 from .wire.peer_messages import OperatorQuestion
 
-WATCH_EVERY_S = 1.0
-EXITS = {"ok": 0, "refused": EXIT_REFUSED}  # any other result: no answer that settles it
-SCHEMA = {
+WATCH_INTERVAL_S = 1.0
+WATCH_REFRESHES_PER_S = 2
+EXIT_CODES = {"ok": 0, "refused": EXIT_REFUSED}  # any other result leaves the outcome open
+DIVISION_SCHEMA = {
     "type": "object",
     "required": ["organisations"],
     "additionalProperties": False,
@@ -31,7 +32,7 @@
             "items": {
                 "type": "object",
                 "required": ["name"],
-                "additionalProperties": False,  # teams don't change with a division
+                "additionalProperties": False,  # a division cannot change the teams
                 "properties": {
                     "name": {"type": "string", "minLength": 1},
                     "minimum": {"type": "number", "minimum": 0},
@@ -45,15 +46,18 @@
 
 
 def read_division(source: str) -> list[dict[str, Any]]:
-    """The limits in a file, or on standard input; raises `SettingsError`."""
+    """Returns the limits from a file, or from standard input for `-`.
+
+    Raises `SettingsError`, `OSError` or `UnicodeDecodeError`.
+    """
     from jsonschema import Draft202012Validator
 
     text = sys.stdin.read() if source == "-" else Path(source).read_text(encoding="utf-8")
     try:
-        division = json.loads(text, parse_constant=_not_a_number)
+        division = json.loads(text, parse_constant=_reject_constant)
     except ValueError as problem:
         raise SettingsError(f"{source}: file: not JSON: {problem}") from problem
-    faults = Draft202012Validator(SCHEMA).iter_errors(division)
+    faults = Draft202012Validator(DIVISION_SCHEMA).iter_errors(division)
     fault = min(faults, key=lambda fault: fault.json_path, default=None)
     if fault is not None:
         field = fault.json_path.removeprefix("$").removeprefix(".") or "file"
@@ -62,66 +66,70 @@
     return limits
 
 
-def _not_a_number(name: str) -> float:
+def _reject_constant(name: str) -> float:
+    """Rejects NaN and the infinities, which JSON does not allow."""
     raise ValueError(f"{name} is not a number")
 
 
 def run_division(args: argparse.Namespace) -> int:
-    """Run one of the commands; returns the exit code."""
+    """Runs one of the actions and returns the exit code."""
     try:
         host, port = parse_address(args.internal, "--internal")
         if args.action == "watch":
             return _watch(host, port, args.seconds)
-        answer = _ask_leader(host, port, _call(args))
+        answer = _ask_leader(host, port, _build_request(args))
     except (SettingsError, OSError, UnicodeDecodeError) as problem:
         if isinstance(problem, ConnectionError | TimeoutError):
-            return _no_answer(problem)
+            return _print_no_answer(problem)
         print(f"runcourse: {problem}", file=sys.stderr)
         return EXIT_USAGE
     except msgspec.DecodeError as problem:
-        return _no_answer(problem)
-    return _tell(answer, args.json)
+        return _print_no_answer(problem)
+    return _print_answer(answer, args.json)
 
 
-def _no_answer(problem: Exception) -> int:
+def _print_no_answer(problem: Exception) -> int:
     print(f"runcourse: no answer: {problem}", file=sys.stderr)
     return EXIT_UNREACHABLE
 
 
-def _call(args: argparse.Namespace) -> dict[str, Any]:
-    """The request of the command line."""
-    call: dict[str, Any] = {"action": args.action}
+def _build_request(args: argparse.Namespace) -> dict[str, Any]:
+    """Builds the request that the command line describes."""
+    request: dict[str, Any] = {"action": args.action}
     if args.action in ("preview", "apply"):
-        call["limits"] = read_division(args.file)
+        request["limits"] = read_division(args.file)
     if args.action in ("apply", "rollback"):
-        call |= {
+        request |= {
             "expect": args.expect,
             "author": args.author or getpass.getuser(),
             "note": args.note,
             "at": datetime.now(UTC).isoformat(timespec="seconds"),
         }
-    return call
+    return request
+
 
+def _ask_controller(host: str, port: int, request: dict[str, Any]) -> dict[str, Any]:
+    return ask(host, port, OperatorQuestion("division", request))
 
-def _ask(host: str, port: int, call: dict[str, Any]) -> dict[str, Any]:
-    return ask(host, port, OperatorQuestion("division", call))
 
+def _ask_leader(host: str, port: int, request: dict[str, Any]) -> dict[str, Any]:
+    """Asks a controller, and the leader too if the answer depends on the organisations' state.
 
-def _ask_leader(host: str, port: int, call: dict[str, Any]) -> dict[str, Any]:
-    """The answer of the controller named; how the organisations fare only the leader knows."""
-    answer = _ask(host, port, call)
+    Only the leader knows that state; if it cannot be reached, the first answer is returned.
+    """
+    answer = _ask_controller(host, port, request)
     leader = answer.get("leader_addr")
-    looking = call["action"] in ("show", "preview")
-    if looking and answer.get("result") == "ok" and leader and leader != f"{host}:{port}":
+    read_only = request["action"] in ("show", "preview")
+    if read_only and answer.get("result") == "ok" and leader and leader != f"{host}:{port}":
         try:
-            return _ask(*parse_address(leader, "leader"), call)
+            return _ask_controller(*parse_address(leader, "leader"), request)
         except (OSError, msgspec.DecodeError, SettingsError):
-            return answer  # it is out of reach from here, or has just ended
+            return answer  # the leader is unreachable from here, or has just stopped
     return answer
 
 
-def _tell(answer: dict[str, Any], as_json: bool) -> int:
-    """Print an answer; returns the exit code."""
+def _print_answer(answer: dict[str, Any], as_json: bool) -> int:
+    """Prints an answer and returns the exit code."""
     result = answer.get("result", "unknown")
     if as_json:
         print(json.dumps(answer, indent=1))
@@ -129,36 +137,40 @@
         for name, cpus in sorted(answer["targets"].items()):
             print(f"{name}: {cpus:g} CPUs")
     elif answer.get("division"):
-        from .tables import as_text, divisions, organisations
+        from .tables import as_text, division_tables, organisations_table
 
-        print(as_text(organisations(answer["status"])))
-        print(as_text(divisions(answer["division"], answer["past"])))
+        print(as_text(organisations_table(answer["status"])))
+        print(as_text(division_tables(answer["division"], answer["past"])))
     reason = answer.get("reason") or answer.get("error")
     if reason:
         print(f"runcourse: {result}: {reason}", file=sys.stderr)
-    return EXITS.get(result, EXIT_UNREACHABLE)
+    return EXIT_CODES.get(result, EXIT_UNREACHABLE)
 
 
 def _watch(host: str, port: int, seconds: float) -> int:
-    """Show the leader's view until the division is reached, or time is out."""
+    """Shows the state of the organisations until all targets are reached or the time is over.
+
+    Returns the exit code.
+    """
     from rich.live import Live
 
-    from .tables import organisations
+    from .tables import organisations_table
 
-    end = time.monotonic() + seconds
-    with Live(refresh_per_second=2) as live:
-        while time.monotonic() < end:
+    deadline = time.monotonic() + seconds
+    with Live(refresh_per_second=WATCH_REFRESHES_PER_S) as live:
+        while time.monotonic() < deadline:
             try:
                 answer = _ask_leader(host, port, {"action": "show"})
             except (OSError, msgspec.DecodeError):
-                time.sleep(WATCH_EVERY_S)  # a leader that ended has a follower soon
+                # Another controller soon takes over from a leader that stopped.
+                time.sleep(WATCH_INTERVAL_S)
                 continue
             if answer.get("result") == "refused":
-                return _tell(answer, as_json=False)
+                return _print_answer(answer, as_json=False)
             if answer.get("status"):
-                live.update(organisations(answer["status"]))
+                live.update(organisations_table(answer["status"]))
                 if answer["status"]["converged"]:
                     return 0
-            time.sleep(WATCH_EVERY_S)
-    print("runcourse: not reached in time", file=sys.stderr)
+            time.sleep(WATCH_INTERVAL_S)
+    print(f"runcourse: the targets were not reached within {seconds:g} s", file=sys.stderr)
     return EXIT_REFUSED
--- a/runcourse/errors.py
+++ b/runcourse/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command with a line for its user."""
+"""Errors that end a command with one line on standard error."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 
 
 class SettingsError(Exception):
-    """A faulty settings file; the message names file, field and reason."""
+    """A settings file is invalid; the message names the file, the field and the reason."""
 
 
-def settings_fault(path: Path, problem: msgspec.ValidationError, prefix: str = "") -> SettingsError:
-    """The error for a value that does not fit its description."""
+def invalid_settings(
+    path: Path, problem: msgspec.ValidationError, prefix: str = ""
+) -> SettingsError:
+    """Returns the error for a value that failed validation; `prefix` precedes the field's path."""
     text = str(problem)
-    reason, _, place = text.partition(" - at `$")
-    field = ".".join(part for part in (prefix, place.rstrip("`").lstrip(".")) if part)
+    reason, _, location = text.partition(" - at `$")
+    field = ".".join(part for part in (prefix, location.rstrip("`").lstrip(".")) if part)
     return SettingsError(f"{path}: {field or 'settings'}: {reason}")
--- a/runcourse/policy_file.py
+++ b/runcourse/policy_file.py
@@ -1,6 +1,6 @@
-"""The file of the locality policy: read at the start and again while serving.
+"""The locality settings file, which is read at the start and again on each reload.
 
-The package and its libraries are imported only once a file is named.
+The locality package and its libraries are imported only if such a file is given.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class PolicyFile:
-    """Where the settings are, and the policy made of them."""
+    """The path of the locality settings, their initial values and the policy that uses them."""
 
     def __init__(self, path: Path, platform: Platform) -> None:
         self.path = path
@@ -21,13 +21,13 @@
         self.settings = self.load()
 
     def load(self) -> Any:
-        """The settings as the file has them now; raises `SettingsError`."""
+        """Reads and returns the current settings from the file; raises `SettingsError`."""
         from .locality.settings import load_locality
 
         return load_locality(self.path, self.platform)
 
     def create_policy(self) -> PlacementPolicy:
-        """The policy, with the settings that were read first."""
+        """Returns a policy with the settings that were read at the start."""
         from .locality.policy import LocalityPolicy
 
         guarantees = {team.name: team.cpus for team in self.platform.settings.teams}
--- a/runcourse/sexp_settings.py
+++ b/runcourse/sexp_settings.py
@@ -1,6 +1,6 @@
-"""Operators' settings as S-expressions: `(head (name value) ...)`.
+"""Reads settings files that are S-expressions of the form `(head (name value) ...)`.
 
-Every fault is reported as one line naming the file, the field and the reason.
+Each error is one line that names the file, the field and the reason.
 """
 
 from __future__ import annotations
@@ -11,25 +11,28 @@
 import msgspec
 import sexpdata
 
-from .errors import SettingsError, settings_fault
+from .errors import SettingsError, invalid_settings
 
 Entry = list[Any]
-T = TypeVar("T", bound=msgspec.Struct)
+StructT = TypeVar("StructT", bound=msgspec.Struct)
 
 
 def read_entries(path: Path, head: str) -> list[Entry]:
-    """The entries of the file's only expression, which begins with `head`."""
+    """Returns the entries of the file's only expression, which must begin with `head`.
+
+    Raises `SettingsError`.
+    """
     try:
-        tree = sexpdata.loads(  # type: ignore[no-untyped-call]
+        parsed = sexpdata.loads(  # type: ignore[no-untyped-call]
             path.read_text(encoding="utf-8")
         )
     except OSError as problem:
         raise SettingsError(f"{path}: file: {problem.strerror}") from problem
-    except Exception as problem:  # sexpdata has no common base for what it raises
+    except Exception as problem:  # the errors of sexpdata share no base class
         raise SettingsError(f"{path}: file: not an S-expression: {problem}") from problem
-    if not isinstance(tree, list) or not tree or str(tree[0]) != head:
+    if not isinstance(parsed, list) or not parsed or str(parsed[0]) != head:
         raise SettingsError(f"{path}: file: expected ({head} (name value) ...)")
-    entries = tree[1:]
+    entries = parsed[1:]
     for entry in entries:
         if not isinstance(entry, list) or len(entry) < 2:
             raise SettingsError(f"{path}: {entry}: expected (name value)")
@@ -37,12 +40,19 @@
 
 
 def to_struct(
-    path: Path, entries: list[Entry], kind: type[T], place: str = "", lists: tuple[str, ...] = ()
-) -> T:
-    """The entries as a struct; fields named in `lists` take any number of values."""
+    path: Path,
+    entries: list[Entry],
+    kind: type[StructT],
+    place: str = "",
+    lists: tuple[str, ...] = (),
+) -> StructT:
+    """Converts entries to a struct; the fields named in `lists` take any number of values.
+
+    `place` is the path of the entries in the file, for errors. Raises `SettingsError`.
+    """
     raw: dict[str, Any] = {}
     prefix = f"{place}." if place else ""
-    known = {f.encode_name for f in msgspec.structs.fields(kind)}
+    known = {field.encode_name for field in msgspec.structs.fields(kind)}
     for entry in entries:
         name = str(entry[0])
         if name not in known:
@@ -58,4 +68,4 @@
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as problem:
-        raise settings_fault(path, problem, place) from problem
+        raise invalid_settings(path, problem, place) from problem
--- a/runcourse/tables.py
+++ b/runcourse/tables.py
@@ -1,4 +1,4 @@
-"""A controller's view as tables for a terminal."""
+"""Formats a controller's status as tables for a terminal."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 )
 LIMIT_COLUMNS = ("name", "minimum", "weight", "maximum")
 DIVISION_COLUMNS = ("version", "author", "at", "note")
-WIDTH = 400  # of tables as text; lines are as long as their content
+TEXT_WIDTH = 400  # columns; rows stay as long as their content, as trailing blanks are removed
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     match value:
         case None:
             return "-"
@@ -51,30 +51,30 @@
         return Text(f"{title}: none")
     table = Table(*columns, title=title, title_justify="left", box=None, pad_edge=False)
     for row in rows:
-        table.add_row(*(Text(_cell(row.get(column))) for column in columns))
+        table.add_row(*(Text(_format_cell(row.get(column))) for column in columns))
     return table
 
 
-def _locality(status: dict[str, Any]) -> list[RenderableType]:
-    """The part on locality; empty while it is off."""
+def _locality_parts(status: dict[str, Any]) -> list[RenderableType]:
+    """Returns the section on locality, empty if it is off."""
     if not status:
         return []
     moves = ", ".join(f"{count} {result}" for result, count in status["moves"].items())
-    heats = ", ".join(f"{count} {heat}" for heat, count in status["machines"].items())
+    machine_counts = ", ".join(f"{count} {heat}" for heat, count in status["machines"].items())
     left = ", ".join(f"{count:g} in share {n}" for n, count in status["moves_left"].items())
     mode = "dry run" if status["dry_run"] else "on" if status["rebalance"] else "placement only"
     return [
-        f"locality: {mode}; machines {heats}; moves {moves}; left now: {left or 'none'}",
+        f"locality: {mode}; machines {machine_counts}; moves {moves}; left now: {left or 'none'}",
         _table("sources", SOURCE_COLUMNS, status["sources"]),
         _table("moves under way", MOVE_COLUMNS, status["under_way"]),
     ]
 
 
 def render(status: dict[str, Any]) -> str:
-    """The whole view."""
+    """Returns the whole status as text."""
     head = (
         f"{status['member']}: {'entitled' if status['entitled'] else 'not entitled'} to act;"
-        f" leader {status['leader'] or '-'}; contact {_cell(status['contact_s'])} s ago"
+        f" leader {status['leader'] or '-'}; contact {_format_cell(status['contact_s'])} s ago"
     )
     parts: list[RenderableType] = [
         head,
@@ -82,27 +82,27 @@
         _table("machines", MACHINE_COLUMNS, status["machines"]),
         _table("waiting", WAITING_COLUMNS, status["waiting"]),
         _table("gangs", GANG_COLUMNS, status["gangs"]),
-        *_locality(status["locality"]),
-        *_entitlements(status["entitlements"]),
+        *_locality_parts(status["locality"]),
+        *_entitlement_parts(status["entitlements"]),
     ]
     return "\n\n".join(as_text(part) for part in parts)
 
 
-def _entitlements(status: dict[str, Any]) -> list[RenderableType]:
-    """The part on organisations; empty while none are stated."""
-    return [organisations(status)] if status else []
+def _entitlement_parts(status: dict[str, Any]) -> list[RenderableType]:
+    """Returns the section on organisations, empty if none are configured."""
+    return [organisations_table(status)] if status else []
 
 
-def organisations(status: dict[str, Any]) -> RenderableType:
-    """How the organisations fare; targets only as the leader tells them."""
+def organisations_table(status: dict[str, Any]) -> RenderableType:
+    """Returns a table of the organisations; only the leader's status contains targets."""
     if status["problem"]:
         return Text(f"entitlements: not in force: {status['problem']}")
     head = f"division {status['version']}" + (" (reached)" if status["converged"] else "")
     return _table(head, ORGANISATION_COLUMNS, status["organisations"])
 
 
-def divisions(current: dict[str, Any], past: Sequence[dict[str, Any]]) -> RenderableType:
-    """The division in force and the last ones before it."""
+def division_tables(current: dict[str, Any], past: Sequence[dict[str, Any]]) -> RenderableType:
+    """Returns tables of the limits in force and of the present and past divisions."""
     return Group(
         _table("limits", LIMIT_COLUMNS, current["limits"]),
         _table("versions", DIVISION_COLUMNS, [current, *past]),
@@ -110,8 +110,8 @@
 
 
 def as_text(part: RenderableType) -> str:
-    """The part as plain lines, as wide as they need to be."""
-    console = Console(width=WIDTH, color_system=None, force_terminal=False)
+    """Renders a part as plain text without trailing blanks."""
+    console = Console(width=TEXT_WIDTH, color_system=None, force_terminal=False)
     with console.capture() as capture:
         console.print(part, soft_wrap=isinstance(part, str | Text), markup=False, highlight=False)
     return "\n".join(line.rstrip() for line in capture.get().rstrip().splitlines())
--- a/tools/measure_entitlements_world.py
+++ b/tools/measure_entitlements_world.py
@@ -1,11 +1,12 @@
-"""Measures divisions in the scripted world, at several sizes.
+"""Measures changes of the division in the simulated world of the tests.
 
     python3 tools/measure_entitlements_world.py MACHINES [--off] [--seed 1]
 
-Two organisations ask for far more than there is; one is raised from a half to three quarters.
-Prints the time until both hold their targets, machines moved against the least that would have
-done, requests to the state service meanwhile, and processor time of the leader's plans. With --off
-the same work runs without organisations, for its processor time.
+Two organisations request far more than the fleet has; the share of one is raised from a half to
+three quarters. Prints the time until both hold their targets, the machines moved and the least
+number of moves that would have sufficed, the requests to the state service meanwhile, and the CPU
+time of the leader's plans. With --off the same work runs without organisations, to compare the CPU
+time.
 """
 
 from __future__ import annotations
@@ -27,28 +28,35 @@
 from runcourse.core.leader.rental import Rental  # noqa: E402
 from runcourse.core.types import Commit, Follow  # noqa: E402
 
-RAISED = {DEALERS: 1.0, REGISTRY: 3.0}
+RAISED_WEIGHTS = {DEALERS: 1.0, REGISTRY: 3.0}
 SETTLE_S = 30.0
-LIMIT_S = 300.0
+CONVERGENCE_TIMEOUT_S = 300.0
+ADOPTION_TIMEOUT_S = 60
+ADOPTION_SETTLE_S = 5.0
+TASKS_PER_MACHINE = 20
+TASK_CPUS = 4.0  # a whole machine
+TASK_ESTIMATE_S = 5.0
+CPUS_MAX = 1e6  # of a team, never reached
+NO_IDLE_RETURN_S = 1e6  # longer than any run: empty machines stay
 
 
 class PlanTimer:
-    """Processor time of the leader's plans."""
+    """Records the CPU time of each of the leader's plans."""
 
     def __init__(self) -> None:
-        self.took: list[float] = []
+        self.durations: list[float] = []
         plan = Rental._plan
 
         def timed(rental: Rental) -> None:
-            began = time.process_time()
+            started = time.process_time()
             plan(rental)
-            self.took.append(time.process_time() - began)
+            self.durations.append(time.process_time() - started)
 
         Rental._plan = timed  # type: ignore[method-assign]
 
-    def told(self) -> dict[str, float]:
-        """Median and longest, in milliseconds."""
-        ordered = sorted(self.took)
+    def summary(self) -> dict[str, float]:
+        """Returns the number of plans, their median and their longest time in milliseconds."""
+        ordered = sorted(self.durations)
         return {
             "plans": len(ordered),
             "median_ms": round(1000 * ordered[len(ordered) // 2], 2),
@@ -56,29 +64,29 @@
         }
 
 
-def counted(world: World) -> dict[str, int]:
-    """Requests to the state service from now on, by kind."""
+def count_state_requests(world: World) -> dict[str, int]:
+    """Returns a counter of the requests to the state service, by kind, that is kept up to date."""
     counts = {"reads": 0, "commits": 0}
     serve = world.state.serve
 
-    def noting(member: str, effect: Any) -> Any:
+    def counting(member: str, effect: Any) -> Any:
         counts["reads"] += isinstance(effect, Follow)
         counts["commits"] += isinstance(effect, Commit)
         return serve(member, effect)
 
-    world.state.serve = noting  # type: ignore[method-assign]
+    world.state.serve = counting  # type: ignore[method-assign]
     return counts
 
 
 def submit(world: World, machines: int) -> None:
-    """Twenty machines' worth of waiting tasks for each machine."""
-    for n, team in enumerate(team for teams in TEAMS.values() for team in teams):
-        changes = {"team": team, "cpus": 4.0, "estimate_s": 5.0}
-        world.submit(spec(f"j-{n:06d}", tasks=20 * machines, **changes))
+    """Submits one array per team, with 20 tasks per machine that each take a whole machine."""
+    for number, team in enumerate(team for teams in TEAMS.values() for team in teams):
+        changes = {"team": team, "cpus": TASK_CPUS, "estimate_s": TASK_ESTIMATE_S}
+        world.submit(spec(f"j-{number:06d}", tasks=TASKS_PER_MACHINE * machines, **changes))
 
 
 def transfers(world: World) -> int:
-    """Changes of a machine's share so far."""
+    """Returns how often a machine has changed its share so far."""
     shares: dict[str, int] = {}
     moved = 0
     for key, value, _ in world.state.log:
@@ -89,31 +97,37 @@
 
 
 def measure(machines: int, seed: int, on: bool) -> dict[str, Any]:
-    """Let the work run, raise one organisation, and let it run on."""
+    """Runs the work, raises the weight of one organisation and runs on."""
     timer = PlanTimer()
-    values: dict[str, Any] = {"cpus_max": 1e6, "operators": Operators(idle_return=1e6)}
+    values: dict[str, Any] = {
+        "cpus_max": CPUS_MAX,
+        "operators": Operators(idle_return=NO_IDLE_RETURN_S),
+    }
     world: Any = (
         PoolWorld(machines=machines, seed=seed, **values)
         if on
         else World(machines=machines, seed=seed, **values)
     )
-    world.until(lambda: sum(k.startswith("rc/machine/") for k in world.state.data) == machines, 60)
-    world.run(5.0)
+    world.until(
+        lambda: sum(k.startswith("rc/machine/") for k in world.state.data) == machines,
+        ADOPTION_TIMEOUT_S,
+    )
+    world.run(ADOPTION_SETTLE_S)
     submit(world, machines)
     world.run(SETTLE_S)
     result: dict[str, Any] = {"machines": machines, "on": on, "seed": seed}
-    before, began, counts = transfers(world), time.process_time(), counted(world)
+    before, started, counts = transfers(world), time.process_time(), count_state_requests(world)
     if on:
-        lacking = machines * 3 // 4 - world.holdings()[REGISTRY]
-        answer = world.apply(RAISED, 0)
+        least_moves = machines * 3 // 4 - world.holdings()[REGISTRY]
+        answer = world.apply(RAISED_WEIGHTS, 0)
         assert answer is not None and answer.result == "ok", answer
-        at = world.now
+        applied_at = world.now
         wanted = {"dealers": machines // 4, "registry": machines - machines // 4}
-        world.until(lambda: world.holdings_near(**wanted), LIMIT_S)
+        world.until(lambda: world.holdings_near(**wanted), CONVERGENCE_TIMEOUT_S)
         result |= {
-            "converged_s": round(world.now - at, 1),
+            "converged_s": round(world.now - applied_at, 1),
             "moved": transfers(world) - before,
-            "least": lacking,
+            "least": least_moves,
             "counted_twice": len(world.checker.counted_twice),
             "requests": dict(counts),
         }
@@ -121,17 +135,19 @@
     result |= {
         "moved_after_all": transfers(world) - before,
         "broken": world.violations,
-        "cpu_s": round(time.process_time() - began, 1),
-        "plans": timer.told(),
+        "cpu_s": round(time.process_time() - started, 1),
+        "plans": timer.summary(),
     }
     return result
 
 
 def main() -> None:
-    """Measure once and print the figures as JSON."""
-    parser = argparse.ArgumentParser(description="Measure divisions in the scripted world.")
+    """Measures once and prints the figures as JSON."""
+    parser = argparse.ArgumentParser(
+        description="Measure changes of the division in the simulated world."
+    )
     parser.add_argument("machines", type=int)
-    parser.add_argument("--off", action="store_true")
+    parser.add_argument("--off", action="store_true", help="run without organisations")
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     print(json.dumps(measure(args.machines, args.seed, not args.off)))
