--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -1,5 +1,5 @@
-"""When a user may be told that a job is cancelled: whoever can still command its machines knows
-it then, or loses its authority in time, whatever fails next."""
+"""When a cancellation may be confirmed to the user: every node that can still command the job's
+machines knows of it by then, or loses its authority in time, whatever fails next."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,8 +19,10 @@
 UID = "j-000001"
 
 
-def running(members: tuple[str, ...], *uids: str, **changes: Any) -> tuple[World, str]:
-    """A world in which long jobs of one team run, and the owner of that team's share."""
+def world_with_running_jobs(
+    members: tuple[str, ...], *uids: str, **changes: Any
+) -> tuple[World, str]:
+    """Returns a world in which long jobs of one team run, and the owner of that team's share."""
     world = World(machines=9, members=members, cpus_max=100.0)
     world.run(4.0)
     for uid in uids or (UID,):
@@ -36,160 +38,176 @@
     return node
 
 
-def at_cancellation(world: World, happens: Callable[[], None], count: int = 1) -> None:
-    """Right after that many cancellations were stored, before any answer has left."""
+def call_at_cancellation(world: World, action: Callable[[], None], count: int = 1) -> None:
+    """Calls `action` right after `count` cancellations are stored, before any answer is sent."""
     serve = world.state.serve
-    left = [count]
+    remaining = [count]
 
-    def watched(member: str, effect: Any) -> tuple[int, Any]:
+    def serve_and_count(member: str, effect: Any) -> tuple[int, Any]:
         result = serve(member, effect)
         if (
             result[0] == 200
             and isinstance(effect, t.Commit)
             and any(v and v.get("stage") == "cancelled" for _, v, _ in effect.then)
         ):
-            left[0] -= 1
-            if left[0] == 0:
-                happens()
+            remaining[0] -= 1
+            if remaining[0] == 0:
+                action()
         return result
 
-    world.state.serve = watched  # type: ignore[method-assign]
+    world.state.serve = serve_and_count  # type: ignore[method-assign]
 
 
 def outage_at_cancellation(world: World, count: int = 1) -> None:
-    at_cancellation(world, lambda: world.state.outage(True), count)
+    """Starts an outage of the state service right after `count` cancellations are stored."""
+    call_at_cancellation(world, lambda: world.state.outage(True), count)
 
 
-def apart(world: World, member: str, *others: str) -> None:
+def cut_links_between(world: World, member: str, *others: str) -> None:
+    """Cuts the links between a node and the others."""
     world.cut_links.update(frozenset((member, o)) for o in others if o != member)
 
 
-def gone_in_time(world: World) -> None:
+def run_past_cancellation_limit(world: World) -> None:
+    """Runs until 5 s after the limit for a cancellation and checks that no rule was violated."""
     world.run(CANCEL_S + 5.0)
     assert not world.violations
 
 
 @CLUSTER_SIZES
-def test_the_gap_between_a_leader_refused_alone_and_an_outage(members: tuple[str, ...]) -> None:
-    """Refused alone, the owner misses a cancellation that another node takes at the very moment
-    before the service is down for all; its workers still report to it."""
-    world, owner = running(members)
-    taker = next(m for m in members if m != owner)
+def test_owner_refused_alone_before_an_outage_runs_no_cancelled_task(
+    members: tuple[str, ...],
+) -> None:
+    """The state service refuses only the owner, which misses a cancellation that another node
+    accepts immediately before the service fails for all; the workers still report to the owner."""
+    world, owner = world_with_running_jobs(members)
+    accepting_node = next(m for m in members if m != owner)
     world.state.refused_members.add(owner)
-    apart(world, owner, taker)
+    cut_links_between(world, owner, accepting_node)
     outage_at_cancellation(world)
-    world.cancel(UID, taker)
+    world.cancel(UID, accepting_node)
     assert world.state.down
-    gone_in_time(world)
+    run_past_cancellation_limit(world)
     if world.last_stages[UID] == "cancelled":
         assert not world.on_machines()
 
 
 @CLUSTER_SIZES
-def test_the_storing_node_dies_after_confirming(members: tuple[str, ...]) -> None:
-    world, owner = running(members)
-    taker = next(m for m in members if m != owner)
+def test_confirmed_cancellation_holds_after_the_storing_node_dies(members: tuple[str, ...]) -> None:
+    world, owner = world_with_running_jobs(members)
+    accepting_node = next(m for m in members if m != owner)
     world.state.refused_members.add(owner)
-    apart(world, owner, taker)
-    assert world.cancel(UID, taker) == "cancelled"
-    world.crash(taker)
+    cut_links_between(world, owner, accepting_node)
+    assert world.cancel(UID, accepting_node) == "cancelled"
+    world.crash(accepting_node)
     world.state.outage(True)
-    gone_in_time(world)
-    assert not world.on_machines(), "those that grant the owner time told it"
+    run_past_cancellation_limit(world)
+    assert not world.on_machines(), (
+        "the nodes that grant the owner time informed it of the cancellation"
+    )
 
 
 @CLUSTER_SIZES
-def test_a_node_cut_off_from_all_peers_confirms_nothing(members: tuple[str, ...]) -> None:
-    """It could store, but whoever owns the job might never hear of it in the outage."""
-    world, owner = running(members)
-    taker = next(m for m in members if m != owner)
-    apart(world, taker, *members)
+def test_node_cut_off_from_all_peers_confirms_no_cancellation(members: tuple[str, ...]) -> None:
+    """The node can store the cancellation, but the job's owner may not learn of it in the
+    outage."""
+    world, owner = world_with_running_jobs(members)
+    accepting_node = next(m for m in members if m != owner)
+    cut_links_between(world, accepting_node, *members)
     outage_at_cancellation(world)
     before = world.now
-    assert world.cancel(UID, taker) == "?", "stored, but nobody else knows"
+    assert world.cancel(UID, accepting_node) == "?", "stored, but no other node knows of it"
     assert world.now - before < ANSWER_WITHIN_S + 0.5
     for _ in range(3):
-        assert world.cancel(UID, taker) == "?" and world.poll(UID, taker) == "?"
-    # Once there is no hope the answer is given at once.
+        assert world.cancel(UID, accepting_node) == "?" and world.poll(UID, accepting_node) == "?"
+    # The answer comes at once when a confirmation is no longer possible.
     world.run(4.0)
     before = world.now
-    assert world.poll(UID, taker) == "?" and world.now - before < 0.2
-    gone_in_time(world)
+    assert world.poll(UID, accepting_node) == "?" and world.now - before < 0.2
+    run_past_cancellation_limit(world)
     world.state.outage(False)
     world.cut_links.clear()
-    world.until(lambda: world.poll(UID, taker) == "cancelled", 20)
-    gone_in_time(world)
+    world.until(lambda: world.poll(UID, accepting_node) == "cancelled", 20)
+    run_past_cancellation_limit(world)
     assert not world.on_machines()
 
 
 @CLUSTER_SIZES
-def test_a_knowing_node_restarts_in_the_outage(members: tuple[str, ...]) -> None:
-    world, owner = running(members)
-    taker, knowing = [m for m in members if m != owner][:2]
+def test_confirmed_cancellation_holds_when_informed_nodes_restart_in_an_outage(
+    members: tuple[str, ...],
+) -> None:
+    world, owner = world_with_running_jobs(members)
+    accepting_node, informed_node = [m for m in members if m != owner][:2]
     world.state.refused_members.add(owner)
-    apart(world, owner, taker)
-    assert world.cancel(UID, taker) == "cancelled"
+    cut_links_between(world, owner, accepting_node)
+    assert world.cancel(UID, accepting_node) == "cancelled"
     world.state.outage(True)
-    world.crash(knowing)
-    world.crash(taker)
-    world.after(0.5, lambda: world.start(knowing))
-    world.after(0.6, lambda: world.start(taker))
-    gone_in_time(world)
+    world.crash(informed_node)
+    world.crash(accepting_node)
+    world.after(0.5, lambda: world.start(informed_node))
+    world.after(0.6, lambda: world.start(accepting_node))
+    run_past_cancellation_limit(world)
     assert not world.on_machines()
-    assert not node_of(world, knowing).store.ready, "it counts for nothing before it has read"
+    assert not node_of(world, informed_node).store.ready, (
+        "a node counts towards no quorum before it has read the store"
+    )
 
 
 @CLUSTER_SIZES
-def test_two_cancellations_known_to_different_nodes(members: tuple[str, ...]) -> None:
-    """One is taken here, another there, each just before its taker is cut off."""
-    second = "j-000002"
-    world, owner = running(members, UID, second)
-    one, two = [m for m in members if m != owner][:2]
+def test_cancellations_stored_by_two_isolated_nodes_are_not_confirmed(
+    members: tuple[str, ...],
+) -> None:
+    """Two nodes that are cut off from all peers each accept one cancellation just before an
+    outage."""
+    second_uid = "j-000002"
+    world, owner = world_with_running_jobs(members, UID, second_uid)
+    first_node, second_node = [m for m in members if m != owner][:2]
     world.state.refused_members.add(owner)
-    apart(world, one, *members)
-    apart(world, two, *members)
+    cut_links_between(world, first_node, *members)
+    cut_links_between(world, second_node, *members)
     outage_at_cancellation(world, 2)
     answers: list[Any] = []
-    world.ask("user", one, t.Cancel(0, UID), answers.append)
-    world.ask("user", two, t.Cancel(0, second), answers.append)
+    world.ask("user", first_node, t.Cancel(0, UID), answers.append)
+    world.ask("user", second_node, t.Cancel(0, second_uid), answers.append)
     world.run(2.0)
     assert world.state.down and len(answers) == 2
-    assert all(a.status == 503 for a in answers), "neither is known to enough nodes"
-    gone_in_time(world)
+    assert all(a.status == 503 for a in answers), "neither is known to a quorum"
+    run_past_cancellation_limit(world)
 
 
 @CLUSTER_SIZES
-def test_cancellations_that_only_peers_told_of_go_with_a_grant(members: tuple[str, ...]) -> None:
-    """A node that is refused too hears of a cancellation over its peer link, before it has read
-    it, or the job itself. It grants the owner time, and what it knows goes with that."""
-    world, owner = running(members)
-    taker, knowing = [m for m in members if m != owner][:2]
-    world.state.refused_members.update((owner, knowing))
-    apart(world, owner, taker)
-    assert world.cancel(UID, taker) == "cancelled"
-    assert node_of(world, knowing).jobs.cancelled_since(Stamp(10**6)) == [UID]
-    world.crash(taker)
+def test_grant_carries_cancellations_learned_only_from_peers(members: tuple[str, ...]) -> None:
+    """A node that the state service refuses as well learns of a cancellation from a peer before it
+    has read the cancellation, or even the job. Its grant to the owner carries the cancellation."""
+    world, owner = world_with_running_jobs(members)
+    accepting_node, informed_node = [m for m in members if m != owner][:2]
+    world.state.refused_members.update((owner, informed_node))
+    cut_links_between(world, owner, accepting_node)
+    assert world.cancel(UID, accepting_node) == "cancelled"
+    assert node_of(world, informed_node).jobs.cancelled_since(Stamp(10**6)) == [UID]
+    world.crash(accepting_node)
     world.state.outage(True)
-    gone_in_time(world)
+    run_past_cancellation_limit(world)
     assert not world.on_machines()
     jobs = Jobs()
     assert jobs.cancel(JobId("j-000077")) is None
     job = jobs.apply_job(JobId("j-000077"), job_value(spec("j-000077"), "accepted"), Stamp(3), 0.0)
-    assert job.stage == "cancelled", "told of before it was read"
+    assert job.stage == "cancelled", "the cancellation arrived before the job was read"
     assert jobs.cancelled_since(Stamp(9)) == ["j-000077"]
 
 
 @CLUSTER_SIZES
-def test_words_of_peers_last_but_count_once(members: tuple[str, ...]) -> None:
-    """A late copy of a former process's word is still true, as its successor reads all before it
-    does anything; but it is one node's word, however often it arrives."""
-    world, owner = running(members)
-    taker, other = [m for m in members if m != owner][:2]
-    apart(world, taker, *members)
-    node = node_of(world, taker)
+def test_repeated_acknowledgement_counts_as_one_node(members: tuple[str, ...]) -> None:
+    """A late copy of an acknowledgement from an earlier process of a node is still valid, since its
+    successor reads the whole store before it acts. However often it arrives, it counts as one
+    node."""
+    world, owner = world_with_running_jobs(members)
+    accepting_node, other = [m for m in members if m != owner][:2]
+    cut_links_between(world, accepting_node, *members)
+    node = node_of(world, accepting_node)
     job = node.jobs.get(JobId(UID))
     assert job is not None
-    world.cancel(UID, taker)
+    world.cancel(UID, accepting_node)
     assert job.stage == "cancelled" and not node.confirmations.is_confirmed(job)
     for _ in range(3):
         node.handle(
@@ -198,7 +216,7 @@
         )
     assert node.confirmations.is_confirmed(job) is (len(members) == 3)
     for member in members:
-        if member not in (taker, owner, other):
+        if member not in (accepting_node, owner, other):
             node.handle(
                 world.now,
                 t.PeerMessageReceived(Member(member), CancellationAck(JobId(UID), owner=False)),
@@ -207,55 +225,57 @@
 
 
 @CLUSTER_SIZES
-def test_more_cancellations_than_a_grant_holds(members: tuple[str, ...]) -> None:
-    """Then the grant is withheld, never shortened: the owner stops instead of not knowing."""
-    world, owner = running(members)
-    taker = next(m for m in members if m != owner)
-    asked = node_of(world, owner)
+def test_grant_is_withheld_when_it_cannot_hold_all_cancellations(members: tuple[str, ...]) -> None:
+    """A grant that cannot hold all cancellations is withheld, never truncated: the owner loses its
+    authority instead of missing a cancellation."""
+    world, owner = world_with_running_jobs(members)
+    accepting_node = next(m for m in members if m != owner)
+    owner_node = node_of(world, owner)
     world.state.refused_members.add(owner)
-    apart(world, owner, taker)
+    cut_links_between(world, owner, accepting_node)
     for member in members:
         node = node_of(world, member)
         if member != owner:
             for n in range(MAX_CANCELLATIONS_IN_GRANT):
                 node.jobs.cancel(JobId(f"j-9{n:05d}"))
-    assert world.cancel(UID, taker) == "cancelled"
+    assert world.cancel(UID, accepting_node) == "cancelled"
     world.state.outage(True)
-    world.run(asked.authority.ttl + asked.authority.grant_s + 1.0)
-    assert not asked.authority.entitled()
-    gone_in_time(world)
+    world.run(owner_node.authority.ttl + owner_node.authority.grant_s + 1.0)
+    assert not owner_node.authority.entitled()
+    run_past_cancellation_limit(world)
     assert not world.on_machines()
 
 
 @CLUSTER_SIZES
-def test_a_cancellation_whose_answer_was_lost_is_told_by_nobody_too_early(
+def test_cancellation_with_a_lost_answer_is_reported_only_after_a_quorum(
     members: tuple[str, ...],
 ) -> None:
-    """It stands in the store, and whoever reads it obeys the same gate, on every path."""
-    world, owner = running(members)
-    taker, reader = [m for m in members if m != owner][:2]
-    apart(world, reader, *members)
-    at_cancellation(world, lambda: setattr(world, "loss_rate", 1.0))
-    assert world.cancel(UID, taker) == "?"
+    """The cancellation is stored although its answer was lost. A node that reads it waits for the
+    same quorum before it reports the cancellation, whether for a poll, a cancel or a submission."""
+    world, owner = world_with_running_jobs(members)
+    accepting_node, reader = [m for m in members if m != owner][:2]
+    cut_links_between(world, reader, *members)
+    call_at_cancellation(world, lambda: setattr(world, "loss_rate", 1.0))
+    assert world.cancel(UID, accepting_node) == "?"
     world.loss_rate = 0.0
     assert world.state.data[f"rc/job/{UID}"][0]["stage"] == "cancelled"
     world.run(0.5)
-    assert world.poll(UID, reader) == "?", "read, but enough others aren't known to know"
+    assert world.poll(UID, reader) == "?", "read, but not yet acknowledged by a quorum"
     assert world.cancel(UID, reader) == "?"
     assert world.submit(world.specs[UID], reader) == 503  # type: ignore[index]
     world.cut_links.clear()
     world.until(lambda: world.poll(UID, reader) == "cancelled", 5)
     for member in members:
         assert world.poll(UID, member) == "cancelled"
-    gone_in_time(world)
+    run_past_cancellation_limit(world)
 
 
 @CLUSTER_SIZES
-def test_a_new_owner_commands_only_once_it_has_read_up_to_its_takeover(
+def test_new_owner_commands_only_after_reading_up_to_its_takeover(
     members: tuple[str, ...],
 ) -> None:
-    """What was cancelled before its transaction succeeded must be known to it."""
-    world, owner = running(members)
+    """A new owner must know every cancellation stored before its takeover transaction succeeded."""
+    world, owner = world_with_running_jobs(members)
     node = node_of(world, owner)
     share = node.scheduler.work[JobId(UID)].share
     assert node.shares.may_command(share)
@@ -271,26 +291,27 @@
 
 
 @CLUSTER_SIZES
-def test_confirming_takes_a_moment_and_needs_no_particular_node(members: tuple[str, ...]) -> None:
-    world, owner = running(members, UID, "j-000002", "j-000003")
-    taker, away = [m for m in members if m != owner][:2]
+def test_confirmation_is_fast_and_needs_no_particular_node(members: tuple[str, ...]) -> None:
+    world, owner = world_with_running_jobs(members, UID, "j-000002", "j-000003")
+    accepting_node, crashed_node = [m for m in members if m != owner][:2]
     before = world.now
-    assert world.cancel(UID, taker) == "cancelled" and world.now - before < 0.3
-    world.crash(away)
+    assert world.cancel(UID, accepting_node) == "cancelled" and world.now - before < 0.3
+    world.crash(crashed_node)
     world.run(8.0)
     before = world.now
-    assert world.cancel("j-000002", taker) == "cancelled" and world.now - before < 0.3
-    # Alone with its own share: it commands, and it knows.
+    assert world.cancel("j-000002", accepting_node) == "cancelled" and world.now - before < 0.3
+    # The only node left is the owner, which commands the tasks and knows of the cancellation.
     for member in members:
         if member != owner and world.nodes[member] is not None:
             world.crash(member)
     assert world.cancel("j-000003", owner) == "cancelled"
-    gone_in_time(world)
+    run_past_cancellation_limit(world)
     assert not world.on_machines()
 
 
-def test_how_many_nodes_make_a_quorum() -> None:
-    """With any owner outside of it, no majority can grant it time without one of them."""
+def test_confirmation_quorum_intersects_every_granting_majority() -> None:
+    """Every majority that could grant time to an owner outside the quorum includes a quorum
+    member."""
     for members in (MEMBERS, (*MEMBERS, "n3"), FIVE_MEMBERS):
         world = World(machines=1, members=members)
         node = node_of(world, "n0")
--- a/tests/test_combined_machines.py
+++ b/tests/test_combined_machines.py
@@ -1,8 +1,8 @@
-"""Failures of machines and links that meet each other or a shortage.
+"""Failures of machines and links that coincide with each other or with a shortage.
 
-Each meeting of failures that broke a rule somewhere is brought about here. Whatever meets,
-the rules hold meanwhile (the world notes each that is broken), and once it is over every job is
-known to every node, runs or is done, and no machine has room that somebody waits for.
+Each test reproduces a combination of failures that once broke an invariant. During the failures
+the invariants hold (the world records every violation). After they end, every node knows every
+job, each job runs or is done, and no machine has free room that a waiting task could use.
 """
 
 import pytest
@@ -24,7 +24,7 @@
 
 @CLUSTER_SIZES
 @pytest.mark.parametrize("how_many", ["some", "all"])
-def test_workers_reach_no_controller_while_commands_reach_them(
+def test_workers_that_receive_commands_cannot_reach_any_controller(
     members: tuple[str, ...], how_many: str
 ) -> None:
     world = loaded_world(members)
@@ -38,7 +38,7 @@
 
 
 @CLUSTER_SIZES
-def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(
+def test_new_machines_get_work_while_writes_are_late_and_the_leader_crashes(
     members: tuple[str, ...],
 ) -> None:
     world = started_world(members, 2)
@@ -49,9 +49,9 @@
             world, spec(f"j-00010{n}", tasks=8, team=f"team-{n}", estimate_s=20.0), members[n % 3]
         )
     world.run(2.0)
-    who = leader(world)
-    assert who is not None
-    crash_and_restart(world, who, 3.0)
+    old_leader = leader(world)
+    assert old_leader is not None
+    crash_and_restart(world, old_leader, 3.0)
     world.run(12.0)
     recover_and_check(world)
     recorded = {
@@ -59,12 +59,12 @@
         for k, (v, _, _) in world.state.data.items()
         if k.startswith("rc/machine/") and not v.get("gone")
     }
-    assert set(world.workers) <= recorded, "every machine hired is known"
+    assert set(world.workers) <= recorded, "every hired machine is recorded"
 
 
 @CLUSTER_SIZES
 @pytest.mark.parametrize("seconds", [4.0, LEASE_S + 4.0])
-def test_a_zone_with_workers_and_a_controller_is_cut_off(
+def test_zone_with_workers_and_a_controller_is_cut_off(
     members: tuple[str, ...], seconds: float
 ) -> None:
     world = loaded_world(members)
@@ -84,7 +84,7 @@
 
 
 @CLUSTER_SIZES
-def test_more_work_than_room_urgent_and_not_over_slow_links(members: tuple[str, ...]) -> None:
+def test_overload_of_mixed_ranks_over_slow_links(members: tuple[str, ...]) -> None:
     world = started_world(members, 5)
     world.link_delay_s = 0.25
     for n in range(12):
@@ -110,7 +110,7 @@
 
 
 @CLUSTER_SIZES
-def test_jobs_bound_to_one_zone_lose_machines(members: tuple[str, ...]) -> None:
+def test_jobs_bound_to_one_zone_lose_machines_and_a_controller(members: tuple[str, ...]) -> None:
     world = started_world(members, 12)
     for n, zone in enumerate("abc"):
         world.submit(spec(f"j-00000{n}", tasks=2, team=f"team-{n}", zone=zone, service=True))
@@ -126,9 +126,10 @@
 
 
 @CLUSTER_SIZES
-def test_a_command_or_its_answer_is_held_up_and_the_machine_goes_on(
+def test_hung_machines_resume_and_receive_delayed_commands(
     members: tuple[str, ...],
 ) -> None:
+    """A command or its answer is delayed while the worker hangs; then the machine continues."""
     world = loaded_world(members)
     for n in range(6):
         id = sorted(world.workers)[n]
--- a/tests/test_combined_state_and_requests.py
+++ b/tests/test_combined_state_and_requests.py
@@ -1,8 +1,8 @@
-"""Failures of the state service that meet requests of users.
+"""Failures of the state service that coincide with requests of users.
 
-Each meeting of failures that broke a rule somewhere is brought about here. Whatever meets,
-the rules hold meanwhile (the world notes each that is broken), and once it is over every job is
-known to every node, runs or is done, and no machine has room that somebody waits for.
+Each test reproduces a combination of failures that once broke an invariant. During the failures
+the invariants hold (the world records every violation). After they end, every node knows every
+job, each job runs or is done, and no machine has free room that a waiting task could use.
 """
 
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 @CLUSTER_SIZES
-def test_changes_without_an_answer_are_carried_out_after_newer_ones(
+def test_unanswered_writes_are_executed_after_newer_ones(
     members: tuple[str, ...],
 ) -> None:
     world = loaded_world(members)
@@ -53,8 +53,8 @@
 
 
 @CLUSTER_SIZES
-def test_requests_meet_the_end_of_a_job_s_last_task(members: tuple[str, ...]) -> None:
-    """Nothing else is wrong: a cancellation, a question and a repeated submission, within
+def test_requests_arrive_around_the_end_of_the_last_task(members: tuple[str, ...]) -> None:
+    """Without any failure, a cancellation, a poll and a repeated submission arrive within
     milliseconds before and after the last task ends."""
     world = started_world(members)
     for n in range(24):
@@ -82,7 +82,7 @@
     recover_and_check(world)
 
 
-def test_one_task_jobs_four_a_second_for_minutes_a_quarter_of_them_cancelled() -> None:
+def test_four_one_task_jobs_per_second_for_two_minutes_with_a_quarter_cancelled() -> None:
     world = started_world(MEMBERS, 9)
     for n in range(480):
         uid = f"j-{n:06d}"
@@ -105,7 +105,7 @@
 
 
 @CLUSTER_SIZES
-def test_a_change_is_carried_out_and_only_its_answer_lost_while_others_read_it(
+def test_answers_of_executed_writes_are_lost_while_other_nodes_read_them(
     members: tuple[str, ...],
 ) -> None:
     world = loaded_world(members)
@@ -135,20 +135,22 @@
 
 
 @CLUSTER_SIZES
-def test_a_leader_alone_with_workers_and_users_while_the_new_one_takes_cancellations(
+def test_isolated_leader_serves_workers_and_users_while_its_successor_accepts_cancellations(
     members: tuple[str, ...],
 ) -> None:
     world = loaded_world(members)
-    old = leader(world)
-    assert old is not None
-    world.cut_links.update(frozenset((old, o)) for o in (*members, "state") if o != old)
-    others = [m for m in members if m != old]
+    old_leader = leader(world)
+    assert old_leader is not None
+    world.cut_links.update(
+        frozenset((old_leader, o)) for o in (*members, "state") if o != old_leader
+    )
+    others = [m for m in members if m != old_leader]
     for k in range(8):
         world.run(1.0)
         for n in range(TEAMS):
             send(world, others[k % len(others)], t.Cancel(0, f"j-00001{n}"))
-            send(world, old, t.Poll(0, f"j-00001{n}"))
-            send(world, old, t.Cancel(0, f"j-00000{n}"))
+            send(world, old_leader, t.Poll(0, f"j-00001{n}"))
+            send(world, old_leader, t.Cancel(0, f"j-00000{n}"))
     world.run(CANCEL_S)
     assert all(world.last_stages[f"j-00001{n}"] == "cancelled" for n in range(TEAMS))
     recover_and_check(world)
@@ -156,15 +158,15 @@
 
 @CLUSTER_SIZES
 @pytest.mark.parametrize("cancel_after", [0.0, 0.05, 1.0])
-def test_the_leader_is_refused_alone_then_everybody_for_longer_than_a_cancellation(
+def test_leader_refused_alone_before_an_outage_longer_than_the_cancellation_limit(
     members: tuple[str, ...], cancel_after: float
 ) -> None:
-    """Cancelled at the very moment of the refusal, or a little later; a second after it, nobody
-    has a state service. Meanwhile the workers report to the old leader."""
+    """Jobs are cancelled at the moment of the refusal or shortly after it. One second after it the
+    state service fails for all nodes; the workers still report to the old leader."""
     world = loaded_world(members)
-    who = leader(world)
-    assert who is not None
-    world.state.refused_members.add(who)
+    refused_leader = leader(world)
+    assert refused_leader is not None
+    world.state.refused_members.add(refused_leader)
     world.after(1.0, lambda: world.state.outage(True))
     world.run(cancel_after)
     for n in range(TEAMS):
@@ -180,7 +182,7 @@
 
 
 @CLUSTER_SIZES
-def test_the_state_service_answers_slowly_while_users_cancel_and_ask(
+def test_slow_state_service_while_users_cancel_and_poll(
     members: tuple[str, ...],
 ) -> None:
     world = loaded_world(members)
@@ -196,13 +198,16 @@
 
 
 @CLUSTER_SIZES
-def test_close_looks_at_all_nodes_find_nothing_older(members: tuple[str, ...]) -> None:
-    """Questions, repeated submissions and cancellations within milliseconds after each answer."""
+def test_requests_right_after_a_stage_change_return_no_older_stage(
+    members: tuple[str, ...],
+) -> None:
+    """Polls and repeated submissions reach all nodes within milliseconds after each answer
+    with a new stage, among cancellations; none may return an older stage."""
     world = started_world(members)
-    looked = [0]
+    checked_changes = [0]
 
-    def look(uid: str) -> None:
-        looked[0] += 1
+    def check_all_nodes(uid: str) -> None:
+        checked_changes[0] += 1
         for k, member in enumerate(members):
             world.after(0.002 * k, lambda m=member: send(world, m, t.Poll(0, uid)))  # type: ignore[misc]
             world.after(
@@ -212,15 +217,15 @@
                 ),
             )  # type: ignore[index]
 
-    note = world.record_stage
+    record_stage_only = world.record_stage
 
-    def noting(uid: str, stage: str, known: str | None = None) -> None:
+    def record_and_check(uid: str, stage: str, known: str | None = None) -> None:
         before = world.last_stages.get(uid)
-        note(uid, stage, known)
+        record_stage_only(uid, stage, known)
         if before != stage:
-            look(uid)
+            check_all_nodes(uid)
 
-    world.record_stage = noting  # type: ignore[method-assign]
+    world.record_stage = record_and_check  # type: ignore[method-assign]
     for n in range(20):
         uid = f"j-0001{n:02d}"
         submit(
@@ -235,15 +240,16 @@
             world.run(0.1)
             send(world, members[k % len(members)], t.Poll(0, f"j-0001{max(0, n - k):02d}"))
     world.run(5.0)
-    assert looked[0] >= 40
+    assert checked_changes[0] >= 40
     recover_and_check(world)
 
 
 @CLUSTER_SIZES
-def test_jobs_are_cancelled_while_one_controller_s_work_changes_hands(
+def test_jobs_are_cancelled_during_takeover_and_handback(
     members: tuple[str, ...],
 ) -> None:
-    """On the way to another, and on the way back, one every tenth of a second; then an outage."""
+    """One job is cancelled every 0.1 s while a crashed controller's shares are taken over and
+    handed back; then the state service fails."""
     world = started_world(members, 12)
     for n in range(60):
         submit(
@@ -260,14 +266,18 @@
         )
         world.run(0.05)
     world.until(lambda: len(world.on_machines()) == 60, 30)
-    number = [0]
+    next_number = [0]
 
     def cancel_some(seconds: float) -> None:
         end = world.now + seconds
-        while world.now < end and number[0] < 60:
-            up = [m for m in members if world.nodes[m] is not None]
-            send(world, up[number[0] % len(up)], t.Cancel(0, f"j-0001{number[0]:02d}"))
-            number[0] += 1
+        while world.now < end and next_number[0] < 60:
+            running_members = [m for m in members if world.nodes[m] is not None]
+            send(
+                world,
+                running_members[next_number[0] % len(running_members)],
+                t.Cancel(0, f"j-0001{next_number[0]:02d}"),
+            )
+            next_number[0] += 1
             world.run(0.1)
 
     world.crash(members[0])
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -1,4 +1,5 @@
-"""Long nights: a controller away, standing still or cut off from one thing, guests, polls."""
+"""Controllers that are down, paused or cut off from one dependency; also large jobs of the lowest
+rank, and the cost of polls and small jobs."""
 
 from collections import Counter
 
@@ -12,8 +13,9 @@
 from runcourse.core.status import status_of
 
 
-def busy(members: tuple[str, ...], machines: int = 9, **settings: float) -> World:
-    """Replicas of four teams run, so that every restart shows."""
+def world_with_replicas(members: tuple[str, ...], machines: int = 9, **settings: float) -> World:
+    """Returns a world that runs two replicas of each of four teams, so that every restart is
+    visible."""
     world = World(machines=machines, members=members, cpus_max=100.0, **settings)
     world.run(4.0)
     for n in range(4):
@@ -24,11 +26,12 @@
 
 
 def leader(world: World) -> str:
+    """Returns the member that leads; raises StopIteration if none does."""
     return next(m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading)
 
 
-def owners(world: World) -> Counter[str]:
-    """How many controllers command each share."""
+def owner_counts(world: World) -> Counter[str]:
+    """Returns the number of controllers that may command each share."""
     return Counter(
         f"share {s}"
         for n in world.nodes.values()
@@ -39,16 +42,16 @@
 
 
 @CLUSTER_SIZES
-def test_a_controller_away_for_a_minute_costs_no_task(members: tuple[str, ...]) -> None:
-    world = busy(members)
-    away = leader(world)
+def test_controller_down_for_a_minute_restarts_no_task(members: tuple[str, ...]) -> None:
+    world = world_with_replicas(members)
+    crashed = leader(world)
     starts = len(world.starts)
-    world.crash(away)
+    world.crash(crashed)
     world.run(8.0)
-    assert leader(world) != away
-    assert set(owners(world).values()) == {1} and len(owners(world)) == len(members)
-    other = next(m for m in members if m != away)
-    # Its teams are served meanwhile, and their cancellations kept.
+    assert leader(world) != crashed
+    assert set(owner_counts(world).values()) == {1} and len(owner_counts(world)) == len(members)
+    other = next(m for m in members if m != crashed)
+    # Its teams are served meanwhile, and their cancellations stay in force.
     for n in range(4):
         assert world.submit(spec(f"j-00010{n}", tasks=2, team=f"team-{n}"), other) == 201
     assert world.cancel("j-000003", other) == "cancelled"
@@ -56,22 +59,22 @@
     assert all(world.poll(f"j-00010{n}", other) == "done" for n in range(4))
     node = world.nodes[other]
     assert node is not None
-    # Whoever is on call sees what it held, and who holds it now.
+    # The status shows operators which shares it owned and who owns them now.
     shares = status_of(node)["shares"]
-    held = [s for s in shares if s["home"] == away]
-    assert held and all(s["owner"] != away and s["alive"] for s in held)
-    world.start(away)
-    world.until(lambda: any(s["owner"] == away for s in status_of(node)["shares"]), 30)
+    held = [s for s in shares if s["home"] == crashed]
+    assert held and all(s["owner"] != crashed and s["alive"] for s in held)
+    world.start(crashed)
+    world.until(lambda: any(s["owner"] == crashed for s in status_of(node)["shares"]), 30)
     world.run(20.0)
-    assert len(world.starts) == starts + 8, "nothing that ran was started anew"
-    assert set(owners(world).values()) == {1} and not world.violations
+    assert len(world.starts) == starts + 8, "no running task was started again"
+    assert set(owner_counts(world).values()) == {1} and not world.violations
 
 
 @pytest.mark.parametrize("second", ["crash", "freeze", "cut"])
-def test_a_second_controller_in_trouble_while_one_is_away(second: str) -> None:
-    world = busy(FIVE_MEMBERS, 12)
-    away, other = FIVE_MEMBERS[0], FIVE_MEMBERS[1]
-    world.crash(away)
+def test_second_controller_fails_while_one_is_down(second: str) -> None:
+    world = world_with_replicas(FIVE_MEMBERS, 12)
+    crashed, other = FIVE_MEMBERS[0], FIVE_MEMBERS[1]
+    world.crash(crashed)
     world.run(10.0)
     if second == "crash":
         world.crash(other)
@@ -90,23 +93,26 @@
     for n in range(4):
         assert world.poll(f"j-00020{n}", user) == "done"
         assert world.poll(f"j-00000{n}", user) == "running"
-    assert set(owners(world).values()) == {1} and not world.violations
+    assert set(owner_counts(world).values()) == {1} and not world.violations
 
 
 @CLUSTER_SIZES
 @pytest.mark.parametrize("seconds", [5.0, 20.0])
-@pytest.mark.parametrize("again", [False, True], ids=["once", "twice"])
-def test_the_leader_stands_still(members: tuple[str, ...], seconds: float, again: bool) -> None:
-    """Shorter and longer than a worker's lease; the second time while its shares go back."""
-    world = busy(members)
-    still = leader(world)
-    world.freeze(still, seconds)
-    if again:
-        world.after(seconds + 0.5, lambda: world.freeze(still, seconds))
-    for _ in range(2 if again else 1):
+@pytest.mark.parametrize("pause_twice", [False, True], ids=["once", "twice"])
+def test_paused_leader_keeps_one_owner_per_share_and_all_tasks(
+    members: tuple[str, ...], seconds: float, pause_twice: bool
+) -> None:
+    """The leader pauses for less or more than a worker's lease; the second pause falls into the
+    handback of its shares."""
+    world = world_with_replicas(members)
+    paused = leader(world)
+    world.freeze(paused, seconds)
+    if pause_twice:
+        world.after(seconds + 0.5, lambda: world.freeze(paused, seconds))
+    for _ in range(2 if pause_twice else 1):
         world.run(seconds + 0.6)
     world.run(20.0)
-    assert set(owners(world).values()) == {1} and len(owners(world)) == len(members)
+    assert set(owner_counts(world).values()) == {1} and len(owner_counts(world)) == len(members)
     for n in range(4):
         world.submit(spec(f"j-00030{n}", tasks=1, team=f"team-{n}"), members[-1])
     world.until(lambda: all(world.poll(f"j-00030{n}") == "done" for n in range(4)), 30)
@@ -114,66 +120,75 @@
 
 
 @CLUSTER_SIZES
-def test_who_takes_over_stands_still_half_way(members: tuple[str, ...]) -> None:
-    world = busy(members)
-    away = leader(world)
-    world.crash(away)
+def test_new_leader_pauses_during_its_takeover(members: tuple[str, ...]) -> None:
+    world = world_with_replicas(members)
+    crashed = leader(world)
+    world.crash(crashed)
     world.until(lambda: leader_or_none(world) is not None, 10)
-    taker = leader(world)
-    world.freeze(taker, 9.0)
+    successor = leader(world)
+    world.freeze(successor, 9.0)
     world.run(10.0)
-    world.start(away)
+    world.start(crashed)
     world.run(25.0)
-    assert set(owners(world).values()) == {1} and len(owners(world)) == len(members)
+    assert set(owner_counts(world).values()) == {1} and len(owner_counts(world)) == len(members)
     for n in range(4):
         assert world.poll(f"j-00000{n}") == "running"
     assert not world.violations
 
 
 def leader_or_none(world: World) -> str | None:
+    """Returns the member that leads, or None."""
     return next(
         (m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading), None
     )
 
 
 @CLUSTER_SIZES
-@pytest.mark.parametrize("what", ["state", "workers", "peers", "refused", "state and peers"])
-def test_a_controller_cut_off_from_one_thing_only(members: tuple[str, ...], what: str) -> None:
-    # A worker without an answer waits 4 s, and 1 s until it tries the next node.
-    world = busy(members, lease_s=12.0)
-    cut = owner_of_job(world, "j-000000")
+@pytest.mark.parametrize(
+    "cut_off_from", ["state", "workers", "peers", "refused", "state and peers"]
+)
+def test_controller_cut_off_from_one_dependency_keeps_all_worker_leases(
+    members: tuple[str, ...], cut_off_from: str
+) -> None:
+    # A worker waits 4 s for an answer, and 1 s more before it tries the next node.
+    world = world_with_replicas(members, lease_s=12.0)
+    cut_member = owner_of_job(world, "j-000000")
     starts = len(world.starts)
     pairs: list[frozenset[str]] = []
-    if what in ("state", "state and peers"):
-        pairs.append(frozenset((cut, "state")))
-    if what in ("peers", "state and peers"):
-        pairs += [frozenset((cut, m)) for m in members if m != cut]
-    if what == "workers":
-        pairs += [frozenset((cut, id)) for id in world.workers]
-    if what == "refused":
-        world.state.refused_members.add(cut)
+    if cut_off_from in ("state", "state and peers"):
+        pairs.append(frozenset((cut_member, "state")))
+    if cut_off_from in ("peers", "state and peers"):
+        pairs += [frozenset((cut_member, m)) for m in members if m != cut_member]
+    if cut_off_from == "workers":
+        pairs += [frozenset((cut_member, id)) for id in world.workers]
+    if cut_off_from == "refused":
+        world.state.refused_members.add(cut_member)
     world.cut_links.update(pairs)
     world.run(14.0)
-    other = next(m for m in members if m != cut)
+    other = next(m for m in members if m != cut_member)
     assert world.submit(spec("j-000400", tasks=2), other) == 201
     world.run(10.0)
     assert world.poll("j-000400", other) == "done"
-    if what not in ("workers", "peers"):
-        health = world._user(cut, t.Health(0))
-        assert health is not None and health.status == 503, "users are sent to the others"
+    if cut_off_from not in ("workers", "peers"):
+        health = world._user(cut_member, t.Health(0))
+        assert health is not None and health.status == 503, (
+            "the health answer sends users to the other nodes"
+        )
     world.cut_links.difference_update(pairs)
     world.state.refused_members.clear()
     world.run(20.0)
-    assert len([s for s in world.starts[starts:] if s[1].job != "j-000400"]) == 0, "no lease lost"
-    assert set(owners(world).values()) == {1} and not world.violations
+    assert len([s for s in world.starts[starts:] if s[1].job != "j-000400"]) == 0, (
+        "no worker lost its lease"
+    )
+    assert set(owner_counts(world).values()) == {1} and not world.violations
 
 
 @CLUSTER_SIZES
-def test_after_the_troubles_every_job_is_answered_for_by_every_controller(
+def test_every_controller_answers_for_every_job_after_failures_end(
     members: tuple[str, ...],
 ) -> None:
-    """No accepted job may go without an answer for 75 s once they are over."""
-    world = busy(members)
+    """After the failures end, no accepted job may stay without an answer for 75 s."""
+    world = world_with_replicas(members)
     for m in members[:2]:
         world.crash(m)
     world.state.outage(True)
@@ -190,7 +205,7 @@
     assert all(world.poll(f"j-00000{n}") == "running" for n in range(4)) and not world.violations
 
 
-def test_many_polls_share_their_reads() -> None:
+def test_concurrent_polls_share_their_reads() -> None:
     world = ready(machines=3)
     world.submit(spec("j-000500", tasks=2, estimate_s=500.0))
     node = world.nodes["n0"]
@@ -201,13 +216,13 @@
             reads += isinstance(effect, t.Follow)
             answers += isinstance(effect, t.UserAnswer)
             if isinstance(effect, t.UserAnswer):
-                assert effect.status == 503 and effect.retry_after, "refused at once"
-    assert reads <= 2, "state requests don't grow with polls"
+                assert effect.status == 503 and effect.retry_after, "refused immediately"
+    assert reads <= 2, "the number of state requests does not grow with the number of polls"
     healthy = node.handle(now + 0.5, t.Health(60_000))
     assert [e.status for e in healthy if isinstance(e, t.UserAnswer)] == [200]
 
 
-def test_a_small_job_costs_two_changes() -> None:
+def test_small_job_costs_two_writes() -> None:
     world = ready(machines=3)
     world.run(2.0)
     before = sum(1 for key, _, _ in world.state.log if key.startswith(("rc/job/", "rc/done/")))
@@ -218,8 +233,9 @@
     assert after - before == 20 and not world.violations
 
 
-def test_a_guest_below_everything_begins_on_a_full_fleet() -> None:
-    """The largest too, within four minutes, behind a steady stream of work that ranks higher."""
+def test_lowest_rank_job_begins_on_a_full_fleet() -> None:
+    """Even the largest job of the lowest rank begins within four minutes, behind a steady stream of
+    work of a higher rank."""
     world = ready(machines=3, cpus_max=100.0)
     world.submit(
         spec("j-000700", tasks=200, team="team-3", rank=3, cpus=0.25, memory=0.5, estimate_s=4.0)
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -1,4 +1,4 @@
-"""Lower limits of the state service, planned for from the start."""
+"""Announced lower limits of the state service, to which nodes keep before they are in force."""
 
 import random
 
@@ -25,7 +25,7 @@
 from runcourse.core.sizes import json_size
 
 
-def test_everything_is_planned_for_the_smaller_limits_from_the_start() -> None:
+def test_node_uses_the_smaller_of_present_and_next_limits() -> None:
     node = node_with_next_limits(write_rps=56.0, value_kb=2.0, txn_ops=8)
     assert node.context.limits == (200.0, 56.0, 2048, 8)
     assert node.store._fair_write_rate == pytest.approx(0.95 * 56.0 / 3)
@@ -38,7 +38,7 @@
     )
 
 
-def test_the_largest_submission_fits_the_least_value() -> None:
+def test_largest_submission_fits_the_smallest_value_limit() -> None:
     job = largest_spec()
     known = [job.types[7], job.types[9]]  # type: ignore[index]
     stored = fit_spec(job, known, LEAST_VALUE_BYTES)
@@ -47,18 +47,18 @@
         assert json_size(job_value(stored, stage)) <= LEAST_VALUE_BYTES
     assert stored.team == job.team and stored.zone == job.zone and stored.tasks == MAX_TASKS
     assert stored.image == job.image or stored.image == name_digest(job.image)
-    wide = fit_spec(largest_spec(), [], LEAST_VALUE_BYTES)
-    assert wide is not None
-    # Of other letters one takes up to twelve bytes.
-    odd = spec("j-000001", lane="\U0001f600" * 200, image="\U0001f600" * 200)
-    stored = fit_spec(odd, [], LEAST_VALUE_BYTES)
+    without_known_types = fit_spec(largest_spec(), [], LEAST_VALUE_BYTES)
+    assert without_known_types is not None
+    # A character outside the basic plane takes up to twelve bytes in JSON.
+    emoji_spec = spec("j-000001", lane="\U0001f600" * 200, image="\U0001f600" * 200)
+    stored = fit_spec(emoji_spec, [], LEAST_VALUE_BYTES)
     assert stored is not None and json_size(job_value(stored, "cancelled")) <= LEAST_VALUE_BYTES
     assert fit_spec(spec("j-000001", team="\U0001f600" * 200), [], LEAST_VALUE_BYTES) is None
-    # What fits stays as it was sent.
+    # A spec that fits stays as it was submitted.
     assert fit_spec(spec("j-000001"), [], LEAST_VALUE_BYTES) == spec("j-000001")
 
 
-def test_a_class_whose_name_was_shortened_keeps_its_promises() -> None:
+def test_class_with_a_shortened_name_keeps_its_objectives() -> None:
     from runcourse.config import Objective
 
     settings = platform("n0", objectives=(Objective("wait", "l" * 200, within_s=3.0),))
@@ -67,19 +67,19 @@
     assert order.wait_limits_s[name_digest("l" * 200)] == 3.0
 
 
-def test_the_pages_of_a_hundred_thousand_finished_tasks_fit_the_least_limits() -> None:
-    every = (1 << MAX_TASKS) - 1
+def test_pages_of_a_hundred_thousand_finished_tasks_fit_the_smallest_limits() -> None:
+    all_bits = (1 << MAX_TASKS) - 1
     node, work = node_with_finished_tasks(
         MAX_TASKS, {"value_kb": 2.0, "txn_ops": LEAST_TXN_OPS}, format_stored=True
     )
-    work.unstored_done_bits = every >> 1
+    work.unstored_done_bits = all_bits >> 1
     commits = store_all_finished(node, work)
     for commit in commits:
         assert len(commit.then) <= LEAST_TXN_OPS and len(commit.when) <= 4 * LEAST_TXN_OPS
         assert all(json_size(value) <= LEAST_VALUE_BYTES for _, value, _ in commit.then)
     keys = [key for commit in commits for key, _, _ in commit.then]
     assert len(keys) == len(set(keys)) <= MAX_TASKS // PART_BITS + 2
-    # Read anew, they say the same.
+    # A fresh node that reads the pages gets the same done bits.
     fresh = node_with_next_limits()
     fresh.store.ready = True
     fresh.store._apply("rc/job/j-000001", job_value(work.job.spec, "accepted"), Stamp(5))
@@ -87,29 +87,29 @@
         for key, value, _ in commit.then:
             fresh.store._apply(key, value, Stamp(9))
     job = fresh.jobs.get(JobId("j-000001"))
-    assert job is not None and job.done_bits == every >> 1
+    assert job is not None and job.done_bits == all_bits >> 1
 
 
-def test_pages_stay_whole_while_a_former_version_may_read_them() -> None:
+def test_pages_are_not_split_while_a_previous_version_may_read_them() -> None:
     node, work = node_with_finished_tasks(
         20_000, {"value_kb": 2.0, "txn_ops": LEAST_TXN_OPS}, format_stored=False
     )
     work.unstored_done_bits = (1 << 16_000) | 1
     (commit,) = store_all_finished(node, work)
     assert [key for key, _, _ in commit.then] == ["rc/done/j-000001/0"]
-    # A page that production wrote larger stays where it is; what is new goes into parts.
+    # A larger page that the previous version wrote stays; new done bits go into parts.
     node.store.values["rc/format"] = {"version": 2}
     work.unstored_done_bits = 1 << 15_000
     (commit,) = store_all_finished(node, work)
     assert [key for key, _, _ in commit.then] == [f"rc/part/j-000001/{15_000 // PART_BITS}"]
     assert all(json_size(value) <= LEAST_VALUE_BYTES for _, value, _ in commit.then)
-    assert ("rc/share/0", 1) in commit.when, "and fails with the ownership"
+    assert ("rc/share/0", 1) in commit.when, "the write fails if the ownership of the share changes"
 
 
-def test_a_change_that_is_too_large_is_not_repeated_as_it_is() -> None:
+def test_write_that_is_too_large_is_not_retried_unchanged() -> None:
     node, work = node_with_finished_tasks(
         20_000, {}, format_stored=False
-    )  # the limit comes though nobody named it
+    )  # the settings do not announce the lower limit
     work.unstored_done_bits = 1 << 16_000
     node.scheduler.finishes._unstored[work.job.uid] = work
     node.scheduler.finishes.store_finished(work, complete=False)
@@ -123,8 +123,8 @@
     assert all(json_size(value) <= LEAST_VALUE_BYTES for _, value, _ in commit.then)
 
 
-def answered_batches(node: Node) -> list[list[t.Write]]:
-    """All that the node asks to be changed, as each change is answered."""
+def answer_all_commits(node: Node) -> list[list[t.Write]]:
+    """Answers the node's commits until there are none, and returns the writes of each."""
     batches: list[list[t.Write]] = []
     while True:
         node.context.now = Instant(node.context.now + 1.0)
@@ -139,29 +139,31 @@
             commit.tag(t.Outcome(commit.tag, 200, stamp, began=node.context.now))
 
 
-def test_the_record_of_teams_and_batches_of_machines_fit() -> None:
+def test_team_list_machine_batches_and_catalogue_fit_the_limits() -> None:
     node = node_with_next_limits(value_kb=2.0, txn_ops=LEAST_TXN_OPS)
-    many = tuple(
+    many_teams = tuple(
         _replace(node.context.platform.settings.teams[0], name=f"team-{n:04d}") for n in range(400)
     )
-    settings = _replace(node.context.platform.settings, teams=many)
+    settings = _replace(node.context.platform.settings, teams=many_teams)
     node.context.platform = _replace(node.context.platform, settings=settings)
     _, changes = node.shares._mapping()
     assert json_size(changes[0][1]) <= LEAST_VALUE_BYTES, (
-        "hashes for all, where the list is too long"
+        "all teams are assigned by hash when the list is too long"
     )
     node.fleet.types = {"m4": t.MachineType("m4", 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ())}
     ids = [MachineId(f"i-{n:06d}") for n in range(100)]
     found = [FoundMachine(id, "m4", "a", False, ShareNo(0)) for id in ids]
     node.rental.adoption.leading = lambda: True
     node.rental.adoption.adopt(found)
-    batches = answered_batches(node)
+    batches = answer_all_commits(node)
     assert sum(map(len, batches)) == 100 and max(map(len, batches)) == LEAST_TXN_OPS
     rows = [
         [f"type-{n:03d}" + "x" * 100, 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ["a", "b"]]
         for n in range(60)
     ]
-    assert len(node.rental.catalogue.pages(rows)) == 1, "as long as the former version may read it"
+    assert len(node.rental.catalogue.pages(rows)) == 1, (
+        "one page as long as the previous version may read it"
+    )
     node.store.values["rc/format"] = {"version": 2}
     pages = node.rental.catalogue.pages(rows)
     assert max(map(json_size, pages.values())) <= LEAST_VALUE_BYTES
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -1,5 +1,5 @@
-"""A controller that stands still for seconds while its clocks run on: what it had read, decided
-or half sent before is old when it goes on."""
+"""A controller process that pauses for seconds while its clocks run on: what it had read, decided
+or partly sent before the pause is outdated when it resumes."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 def with_service(members: tuple[str, ...], **settings: Any) -> tuple[World, str]:
-    """A world with replicas, and the member that commands the first of them."""
+    """Returns a world with two replicas, and the member that commands the first of them."""
     world = World(machines=5, members=members, **settings)
     world.run(4.0)
     world.submit(spec("j-000500", service=True, tasks=2))
@@ -26,7 +26,7 @@
 @CLUSTER_SIZES
 @pytest.mark.parametrize("kind", ["freeze", "stall"])
 @pytest.mark.parametrize("seconds", [0.8, 3.0, 20.0])
-def test_a_node_that_stood_still_breaks_nothing(
+def test_paused_node_violates_no_invariant(
     members: tuple[str, ...], kind: str, seconds: float
 ) -> None:
     world, owner = with_service(members)
@@ -44,7 +44,7 @@
 
 
 @CLUSTER_SIZES
-def test_a_lease_taken_over_meanwhile_is_noticed_before_anything_is_commanded(
+def test_node_sends_no_command_after_a_pause_in_which_its_shares_were_taken_over(
     members: tuple[str, ...],
 ) -> None:
     world, owner = with_service(members)
@@ -53,17 +53,17 @@
     shares = set(node.shares.owned)
     world.freeze(owner, 12.0)
     world.run(11.0)
-    taken = {
+    taken_over = {
         s for m, n in world.nodes.items() if n is not None and m != owner for s in n.shares.owned
     }
-    assert shares <= taken
-    # Before any input tells of it: it concludes nothing about leases that another renewed.
-    held = list(node.fleet.placements.by_task)
+    assert shares <= taken_over
+    # Before any input reports the takeover, the node ends no lease that another node renewed.
+    tasks_before = list(node.fleet.placements.by_task)
     node.fleet._leases_checked_at = Instant(0.0)
     node.context.now = Instant(world.now)
     node.fleet.tick()
-    assert held and list(node.fleet.placements.by_task) == held
-    # What its worker reports is not answered, nothing is sent.
+    assert tasks_before and list(node.fleet.placements.by_task) == tasks_before
+    # Reports of its workers are refused, and no command is sent.
     node.scheduler._dirty = True
     for machine in list(node.fleet.machines.values()):
         node.fleet.commands._dirty[machine.id] = None
@@ -73,45 +73,45 @@
         assert all(e.status == 503 for e in effects if isinstance(e, t.ReportAnswer))
 
 
-def test_a_read_answered_before_a_pause_proves_nothing_after_it() -> None:
+def test_read_answered_before_a_pause_is_not_fresh_after_it() -> None:
     world = ready()
     store: Store = world.nodes["n0"].store  # type: ignore[union-attr]
-    heard: list[bool] = []
+    sync_results: list[bool] = []
     for pause, expected in ((0.1, True), (FRESH_S + 0.1, False)):
         store._reading = False
         store._read_began = Instant(0.0)
         store.context.effects.clear()
-        store.sync(heard.append)
+        store.sync(sync_results.append)
         read = next(e for e in store.context.effects if isinstance(e, t.Follow))
         store.context.now = Instant(store.context.now + pause)
         read.tag(
             t.Outcome(read.tag, 200, ([], int(store.applied)), began=store.context.now - pause)
         )
-        assert heard.pop() is expected
+        assert sync_results.pop() is expected
         assert (store.context.now < store.fresh_until) is expected
 
 
-def test_what_rests_on_authority_or_a_read_says_until_when_it_may_leave() -> None:
+def test_answers_that_depend_on_authority_or_a_read_carry_an_expiry() -> None:
     world = ready()
     world.submit(spec("j-000502", service=True))
     for member, node in world.nodes.items():
         assert node is not None
         for machine in list(node.fleet.machines.values()):
             report = world.workers[machine.id].report()
-            note_route = next(
+            report_answer = next(
                 e
                 for e in node.handle(world.now, t.ReportReceived(-1, report))
                 if isinstance(e, t.ReportAnswer)
             )
-            assert note_route.status == 200
-            assert note_route.until == node.authority.ends_at() < world.now + node.authority.ttl
-        seen: list[t.UserAnswer] = []
-        world.ask("user", member, t.Poll(0, "j-000502"), seen.append)
+            assert report_answer.status == 200
+            assert report_answer.until == node.authority.ends_at() < world.now + node.authority.ttl
+        answers: list[t.UserAnswer] = []
+        world.ask("user", member, t.Poll(0, "j-000502"), answers.append)
         world.run(1.0)
-        assert seen[0].status == 200 and seen[0].until <= world.now + FRESH_S
+        assert answers[0].status == 200 and answers[0].until <= world.now + FRESH_S
 
 
-def test_a_change_that_was_given_up_does_not_leave() -> None:
+def test_write_past_its_deadline_is_not_sent() -> None:
     world = ready()
     store: Store = world.nodes["n0"].store  # type: ignore[union-attr]
     store._paused_until = Instant(world.now + 5.0)
@@ -132,7 +132,7 @@
 
 
 @CLUSTER_SIZES
-def test_a_leader_that_stood_still_hires_nothing_twice(members: tuple[str, ...]) -> None:
+def test_paused_leader_hires_no_machine_twice(members: tuple[str, ...]) -> None:
     world = World(machines=0, members=members)
     world.run(4.0)
     leader = next(
@@ -150,4 +150,6 @@
         for k in world.state.data
         if k.startswith("rc/machine/") and not world.state.data[k][0].get("gone")
     }
-    assert records == {"rc/machine/" + id for id in world.workers}, "used or returned"
+    assert records == {"rc/machine/" + id for id in world.workers}, (
+        "every hired machine is in use or returned"
+    )
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random interleavings of failures: the rules hold, and nothing accepted is lost."""
+"""Random interleavings of failures: the invariants hold, and no accepted job is lost."""
 
 from unittest.mock import patch
 
@@ -23,7 +23,7 @@
     deadline=None,
     derandomize=True,
     database=None,
-    phases=(Phase.explicit, Phase.generate),  # shrinking whole stories takes too long for CI
+    phases=(Phase.explicit, Phase.generate),  # shrinking a whole script takes too long for CI
     suppress_health_check=list(HealthCheck),
 )
 @given(steps, st.integers(0, 1000), st.sampled_from((MEMBERS, FIVE_MEMBERS)))
@@ -35,7 +35,7 @@
 
 
 def play(script: list[tuple[str, int, float]], seed: int, members: tuple[str, ...]) -> None:
-    # Half of the stories run with moves of running work, half with two organisations.
+    # Half of the scenarios move running work, and half have two organisations.
     moving = seed % 2 == 0
     divided = seed % 4 in (1, 2)
     world = World(
@@ -76,15 +76,19 @@
     world.run(5.0)
     assert not world.violations
     assert not checker.counted_twice
-    # Services may hold all that a team may use: without them every array gets done.
-    for uid in [u for u, told in world.last_stages.items() if told not in ("cancelled", "unknown")]:
+    # Services may use up a team's limit; they are cancelled first so that every array can finish.
+    for uid in [
+        u
+        for u, last_stage in world.last_stages.items()
+        if last_stage not in ("cancelled", "unknown")
+    ]:
         if world.specs[uid].service or uid in world.failing_jobs:
             world.until(lambda uid=uid: world.cancel(uid, "n2") == "cancelled", 10)  # type: ignore[misc]
-    for uid, told in list(world.last_stages.items()):
+    for uid, last_stage in list(world.last_stages.items()):
         stage = world.poll(uid, "n1")
         assert stage != "?"
         endless = world.specs[uid].service or uid in world.failing_jobs
-        if not endless and told not in ("cancelled", "unknown"):
+        if not endless and last_stage not in ("cancelled", "unknown"):
             world.until(
                 lambda uid=uid: world.poll(uid) in ("done", "cancelled"),  # type: ignore[misc]
                 90,
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -1,6 +1,6 @@
-"""Two versions beside each other: the upgrade, and each on the other's data.
+"""Nodes of two versions in one cluster: the rolling upgrade, and each version on the other's data.
 
-Where the history is not there, what the former version wrote is read from the recorded store.
+Without the history of the repository, only the recorded store of the previous version is read.
 """
 
 import json
@@ -21,7 +21,7 @@
     needs_production_history,
     restart_as,
 )
-from test_cancellations import apart, outage_at_cancellation
+from test_cancellations import cut_links_between, outage_at_cancellation
 from test_faulty_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, LEASE_S, MEMBERS, World, platform, spec
 
@@ -34,15 +34,15 @@
 @needs_production_history
 @CLUSTER_SIZES
 @pytest.mark.parametrize("order", ["leader first", "leader last", "two at a time"])
-def test_an_orderly_roll_loses_no_task_and_no_job(members: tuple[str, ...], order: str) -> None:
+def test_rolling_upgrade_loses_no_task_and_no_job(members: tuple[str, ...], order: str) -> None:
     world = loaded_world(members)
     first = leader(world)
     assert first is not None
-    turns = sorted(members, key=lambda m: (m == first) == (order != "leader first"))
+    upgrade_order = sorted(members, key=lambda m: (m == first) == (order != "leader first"))
     starts = len(world.starts)
     step = 2 if order == "two at a time" and len(members) == 5 else 1
-    for n in range(0, len(turns), step):
-        for member in turns[n : n + step]:
+    for n in range(0, len(upgrade_order), step):
+        for member in upgrade_order[n : n + step]:
             restart_as(world, member, 1.0, new=True)
         for k in range(5):
             submit(
@@ -54,22 +54,26 @@
         assert not world.violations
     assert not world.production_members
     world.until(lambda: format_stored(world), 10)
-    again = {
+    restarted_tasks = {
         x for x, w in world.on_machines() if any(x == task for _, task, _ in world.starts[starts:])
     }
-    assert not {x for x in again if str(x.job) < "j-000020"}, "nothing that ran was started anew"
+    assert not {x for x in restarted_tasks if str(x.job) < "j-000020"}, (
+        "no running task was started again"
+    )
     recover_and_check(world)
 
 
 @needs_production_history
 @CLUSTER_SIZES
-def test_a_process_that_dies_before_its_turn_comes_back_as_it_was(members: tuple[str, ...]) -> None:
+def test_node_that_crashes_before_its_upgrade_returns_with_the_previous_version(
+    members: tuple[str, ...],
+) -> None:
     world = loaded_world(members)
     restart_as(world, members[1], 1.0, new=True)
     world.run(5.0)
     restart_as(world, members[0], 0.3, new=False)
     world.run(6.0)
-    restart_as(world, members[1], 6.0, new=True)  # long enough for its share to be taken over
+    restart_as(world, members[1], 6.0, new=True)  # down long enough for its share to be taken over
     world.run(14.0)
     restart_as(world, members[0], 6.0, new=False)
     world.run(14.0)
@@ -78,7 +82,7 @@
         restart_as(world, member, 1.0, new=True)
         world.run(6.0)
     world.until(lambda: format_stored(world), 10)
-    # Should one be put back after that: nothing breaks.
+    # A node that is downgraded after that breaks no invariant.
     world.production_members.add(members[2])
     restart_as(world, members[2], 1.0, new=False)
     world.run(10.0)
@@ -87,22 +91,24 @@
 
 @needs_production_history
 @CLUSTER_SIZES
-@pytest.mark.parametrize("new_takes", [True, False])
-def test_a_share_is_taken_over_by_either_version(members: tuple[str, ...], new_takes: bool) -> None:
+@pytest.mark.parametrize("by_new_version", [True, False])
+def test_either_version_takes_over_a_share_of_the_other(
+    members: tuple[str, ...], by_new_version: bool
+) -> None:
     world = loaded_world(members)
     owner = owner_of_job(world, "j-000010")
-    if not new_takes:
+    if not by_new_version:
         restart_as(world, owner, 0.5, new=True)
         world.run(4.0)
     for member in members:
-        if new_takes and member != owner:
+        if by_new_version and member != owner:
             restart_as(world, member, 0.5, new=True)
             world.run(4.0)
     starts = len(world.starts)
     world.crash(owner)
     world.run(LEASE_S + 2.0)
     assert owner_of_job(world, "j-000010") != owner
-    assert len(world.starts) == starts, "in time, so that nothing was lost"
+    assert len(world.starts) == starts, "the takeover was in time, so that no task was restarted"
     other = next(m for m in members if m != owner)
     assert world.cancel("j-000010", other) == "cancelled"
     world.start(owner)
@@ -112,8 +118,8 @@
 
 @needs_production_history
 @CLUSTER_SIZES
-def test_cancellations_are_confirmed_whatever_the_mix(members: tuple[str, ...]) -> None:
-    """The former version's word is the list of cancellations that goes with its grant."""
+def test_cancellations_are_confirmed_in_every_mix_of_versions(members: tuple[str, ...]) -> None:
+    """A node of the previous version acknowledges cancellations by the list in its grant."""
     world = loaded_world(members)
     restart_as(world, members[0], 0.5, new=True)
     world.run(5.0)
@@ -130,20 +136,23 @@
 @needs_production_history
 @CLUSTER_SIZES
 @pytest.mark.parametrize("owner_new", [True, False])
-def test_the_gap_with_mixed_nodes(members: tuple[str, ...], owner_new: bool) -> None:
-    """Taken by a node of this version, while the owner, refused alone, is of either."""
+def test_mixed_versions_with_an_owner_refused_alone_before_an_outage(
+    members: tuple[str, ...], owner_new: bool
+) -> None:
+    """A node of this version accepts the cancellation, while the state service refuses only the
+    owner, which is of either version."""
     world = loaded_world(members)
     owner = owner_of_job(world, "j-000011")
-    taker = next(m for m in members if m != owner)
-    for member in (taker, *([owner] if owner_new else [])):
+    accepting_node = next(m for m in members if m != owner)
+    for member in (accepting_node, *([owner] if owner_new else [])):
         restart_as(world, member, 0.3, new=True)
         world.run(5.0)
     owner = owner_of_job(world, "j-000011")
-    assert owner != taker
+    assert owner != accepting_node
     world.state.refused_members.add(owner)
-    apart(world, owner, taker)
+    cut_links_between(world, owner, accepting_node)
     outage_at_cancellation(world)
-    world.cancel("j-000011", taker)
+    world.cancel("j-000011", accepting_node)
     world.run(CANCEL_S + 5.0)
     assert not world.violations
     recover_and_check(world)
@@ -151,7 +160,7 @@
 
 @needs_production_history
 @CLUSTER_SIZES
-def test_troubles_while_it_rolls(members: tuple[str, ...]) -> None:
+def test_failures_during_a_rolling_upgrade(members: tuple[str, ...]) -> None:
     world = loaded_world(members)
     for n, member in enumerate(members):
         restart_as(world, member, 1.0, new=True)
@@ -179,7 +188,7 @@
 
 
 @needs_production_history
-def test_the_limits_come_down_after_the_upgrade() -> None:
+def test_lower_limits_of_the_state_service_after_the_upgrade() -> None:
     world = loaded_world(MEMBERS)
     for member in MEMBERS:
         restart_as(world, member, 1.0, new=True)
@@ -193,7 +202,7 @@
     recover_and_check(world)
 
 
-def test_what_production_stored_is_read() -> None:
+def test_store_of_the_previous_version_is_read() -> None:
     stored = json.loads(production.STORED.read_text())
     assert stored["commit"] == production.commit()
     world = World(machines=0)
@@ -214,16 +223,16 @@
     assert jobs["j-000001"].spec.service and jobs["j-000004"].spec.types == ("m4",)  # type: ignore[union-attr]
     assert len(node.fleet.records) == 9 and node.fleet.types["m4"].cpus == 4.0
     shares = {node.shares.of_team(f"team-{n}") for n in range(4)}  # type: ignore[arg-type]
-    assert shares == {0, 1, 2}, "dealt as that version dealt them"
+    assert shares == {0, 1, 2}, "teams are assigned to shares as that version assigned them"
     assert sorted(s for n in world.nodes.values() if n is not None for s in n.shares.owned) == [
         0,
         1,
         2,
-    ], "the shares of its processes are taken at once"
+    ], "the shares of that version's processes are taken over at once"
 
 
 @needs_production_history
-def test_what_this_version_stores_is_read_by_production() -> None:
+def test_previous_version_reads_the_store_of_this_version() -> None:
     world = World(machines=9, cpus_max=100.0)
     world.run(4.0)
     world.submit(spec("j-000001", tasks=2, service=True))
@@ -235,30 +244,31 @@
     world.until(lambda: format_stored(world), 10)
     new = world.nodes["n1"]
     assert new is not None
-    # A part, too, as of a job whose pages are too large: not read, so started anew at worst.
+    # A part of a job whose pages are too large: the previous version does not read it, and at worst
+    # starts the job's tasks again.
     world.state.epoch += 1
     world.state.data["rc/part/j-000002/0"] = ({"bits": "ff"}, world.state.epoch, None)
-    former: Any = production.ProductionNode(
+    previous: Any = production.ProductionNode(
         platform("n0"), Operators(), random.Random(1), Instant(world.now)
     )
     data = [(k, v, s) for k, (v, s, _) in sorted(world.state.data.items())]
-    tag = former.node.store._read
-    former.node.store._reading = True
+    tag = previous.node.store._read
+    previous.node.store._reading = True
     tag(
-        former.types.Outcome(None, 200, (data, world.state.epoch), began=world.now),
+        previous.types.Outcome(None, 200, (data, world.state.epoch), began=world.now),
         Instant(world.now),
         [],
     )
-    assert former.store.ready
+    assert previous.store.ready
     for uid in ("j-000001", "j-000002", "j-000003", "j-000004"):
-        mine, its = new.jobs.get(JobId(uid)), former.jobs.get(uid)
-        assert mine is not None and its.stage == mine.stage
-        assert json.dumps(msgspec.to_builtins(job_value(mine.spec, "").spec)) == json.dumps(
-            production.modules()["jobs"].job_value(its.spec, "")["spec"]
+        new_job, previous_job = new.jobs.get(JobId(uid)), previous.jobs.get(uid)
+        assert new_job is not None and previous_job.stage == new_job.stage
+        assert json.dumps(msgspec.to_builtins(job_value(new_job.spec, "").spec)) == json.dumps(
+            production.modules()["jobs"].job_value(previous_job.spec, "")["spec"]
         )  # type: ignore[index]
-    assert former.fleet.records.keys() == new.fleet.records.keys()
-    assert former.fleet.types.keys() == new.fleet.types.keys()
+    assert previous.fleet.records.keys() == new.fleet.records.keys()
+    assert previous.fleet.types.keys() == new.fleet.types.keys()
     assert all(
-        former.authority.live_inc(m) == new.authority.live_incarnation(m)  # type: ignore[arg-type]
+        previous.authority.live_inc(m) == new.authority.live_incarnation(m)  # type: ignore[arg-type]
         for m in MEMBERS
     )
