--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -148,7 +148,7 @@
         if self.context.now < work.not_before or any(work.zones.values()):
             return
         candidates = self._candidates(turn, work, turn.machines_with_room)
-        candidates = [m for m in candidates if m.id not in work.errors] or candidates
+        candidates = [m for m in candidates if m.id not in work.failure_counts] or candidates
         candidates = [m for m in candidates if work.job.spec.image in m.images] or candidates
         if candidates and work.job.spec.gang:
             self._serve_gang(turn, work, candidates, may_preempt=False)
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -16,7 +16,7 @@
         "attempt",
         "attempted",
         "ending",
-        "errors",
+        "failure_counts",
         "fails_everywhere",
         "flush_retry_at",
         "flushed_at",
@@ -47,7 +47,7 @@
         self.flush_retry_at = LONG_AGO
         self.not_before = LONG_AGO
         self.prioritised_until = LONG_AGO  # served first, not preempted until then
-        self.errors: dict[MachineId, int] = {}  # failures per machine
+        self.failure_counts: dict[MachineId, int] = {}  # failures per machine
         self.max_time_to_failure_s = 0.0  # longest time from a start to its failure
         self.fails_everywhere = False  # its tasks seem to fail on every machine
         # Tasks of which machines may still list a former attempt.
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_faulty_jobs_and_late_writes.py
@@ -161,7 +161,7 @@
     assert node is not None
     # Most tasks of the job have run for longer than those that failed soon after their start.
     work.max_time_to_failure_s = 1.0
-    work.errors.update({"i-1": 1, "i-2": 1})  # type: ignore[dict-item]
+    work.failure_counts.update({"i-1": 1, "i-2": 1})  # type: ignore[dict-item]
     machine = next(m for m in node.fleet.of_share(work.share) if m.placements)
     placement = next(p for p in machine.placements.values() if p.active)
     placement.ran_since = Instant(node.context.now - 0.5)
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -65,7 +65,7 @@
     assert work.ending and work.not_before > node.context.now and work.incomplete_attempts == 1
     assert any(isinstance(e, t.Log) and "not there" in e.text for e in node.context.effects)
     assert not any(node.context.now < m.quarantined_until for m in node.fleet.machines.values())
-    assert not work.errors and not work.fails_everywhere
+    assert not work.failure_counts and not work.fails_everywhere
 
 
 def test_image_fetches_longer_than_the_gang_wait_do_not_prevent_the_start() -> None:
