--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -8,7 +8,7 @@
 from .context import Context
 from .ids import LONG_AGO, Instant, ShareNo
 from .machine import Machine
-from .shares import Holding
+from .shares import OwnedShare
 from .work import Work, images_being_fetched
 
 # An image is plentiful if the part of CPUs that hold it is this many times its part of the CPUs
@@ -38,7 +38,7 @@
 
     def plentiful(
         self,
-        holding: Holding,
+        holding: OwnedShare,
         waiting: list[Work],
         usable: Callable[[], list[Machine]],
         machines_with_room: list[Machine],
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -21,7 +21,7 @@
 )
 from .jobs import Job
 from .placement import ZERO_SIZE, Size
-from .shares import Holding
+from .shares import OwnedShare
 from .stored_values import MachineValue
 from .types import MachineType
 
@@ -186,7 +186,7 @@
         "used",
     )
 
-    def __init__(self, id: MachineId, record: Record, holding: Holding, now: Instant) -> None:
+    def __init__(self, id: MachineId, record: Record, holding: OwnedShare, now: Instant) -> None:
         self.id = id
         self.index: MachineIndex | None = None  # of its share
         self.position = 0  # in the order in which machines were added to the share
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -22,7 +22,7 @@
 from .placements import PlacementObserver, PlacementTable
 from .reports import LATE_REPORT_INTERVALS, REPORT_TIMEOUT_S, ReportIntake
 from .share_machines import ShareMachines
-from .shares import Holding, Shares
+from .shares import OwnedShare, Shares
 from .store import Store
 from .stored_values import CATALOG, MACHINE, TYPES, GoneMachine
 from .types import MachineType, Report
@@ -149,7 +149,7 @@
                 self.leaving[id] = None
         self.watch_record(id, before, record)
 
-    def _add(self, id: MachineId, record: Record, holding: Holding) -> None:
+    def _add(self, id: MachineId, record: Record, holding: OwnedShare) -> None:
         machine = Machine(id, record, holding, self.context.now)
         machine.set_type(self.types.get(record.type))
         machine.addr = self.addrs.get(id, "")
@@ -208,7 +208,7 @@
                 self.placements.remove(placement, why)
             self.observer.capacity_changed()
 
-    def add_share(self, holding: Holding) -> None:
+    def add_share(self, holding: OwnedShare) -> None:
         """Adds the machines of a share that this node now owns."""
         for id, record in self.records.items():
             if record.share == holding.number:
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -20,7 +20,7 @@
 from .machines import Fleet
 from .policy import Candidate, MoveProposal, PlacementPolicy
 from .quota import Quota
-from .shares import Holding, Shares
+from .shares import OwnedShare, Shares
 from .store import Store
 from .turn import Turn, UnmetDemand
 from .versions import Versions
@@ -144,7 +144,7 @@
 
     # Planning
 
-    def _plan(self, holding: Holding) -> None:
+    def _plan(self, holding: OwnedShare) -> None:
         """Begins at most one move of the share at a time, among a random sample of its machines."""
         share, now = holding.number, self.context.now
         if (
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -34,7 +34,7 @@
 from .policy import NoPolicy, PlacementPolicy
 from .quota import Quota
 from .scheduler import Scheduler
-from .shares import Holding, Shares
+from .shares import OwnedShare, Shares
 from .store import Store
 from .stored_values import LEADER
 from .types import (
@@ -225,7 +225,7 @@
     def _on_lost(self, why: str) -> None:
         self.shares.drop_all()
 
-    def _on_gain(self, holding: Holding) -> None:
+    def _on_gain(self, holding: OwnedShare) -> None:
         self.fleet.add_share(holding)
         self.scheduler.gain(holding)
 
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -27,7 +27,7 @@
 from .preemption import Preemption
 from .quota import Quota
 from .scoring import Scoring
-from .shares import Holding, Shares
+from .shares import OwnedShare, Shares
 from .store import Store
 from .task_placement import TaskPlacement
 from .turn import Turn, UnmetDemand
@@ -139,7 +139,7 @@
         elif job.uid not in self.work:
             self._open(job, share)
 
-    def gain(self, holding: Holding) -> None:
+    def gain(self, holding: OwnedShare) -> None:
         """Adds the open jobs of a share that is owned here from now on."""
         self.policy.share_gained(holding, self.context.now)
         for job in self.jobs.open_jobs():
@@ -289,7 +289,7 @@
         cost_s = self.budget.cost_s() + self._queued_jobs / QUEUED_JOBS_PER_S
         self._next_turn = Instant(now + min(MIN_TURN_GAP_S + cost_s, MAX_TURN_GAP_S))
 
-    def _run_turn(self, holding: Holding) -> None:
+    def _run_turn(self, holding: OwnedShare) -> None:
         waiting, failing, unsettled = self._classify_pending(holding)
         if not waiting and not failing:
             self.unmet[holding.number] = []
@@ -315,7 +315,9 @@
         for work in failing:
             self._probe(turn, work)
 
-    def _classify_pending(self, holding: Holding) -> tuple[list[Work], list[Work], list[Machine]]:
+    def _classify_pending(
+        self, holding: OwnedShare
+    ) -> tuple[list[Work], list[Work], list[Machine]]:
         """Returns the work that may be started, the work that fails everywhere, and the
         representatives of the machines that may hold unknown tasks.
 
@@ -346,7 +348,7 @@
             del pending[uid]
         return list(pending.values())
 
-    def _has_attempt_numbers(self, holding: Holding, waiting: list[Work]) -> bool:
+    def _has_attempt_numbers(self, holding: OwnedShare, waiting: list[Work]) -> bool:
         """Returns whether the share has attempt numbers for all tasks that this turn may start.
 
         It lacks them only if millions of tasks would start before anything is stored.
@@ -357,7 +359,7 @@
 
     def _prepare_turn(
         self,
-        holding: Holding,
+        holding: OwnedShare,
         waiting: list[Work],
         failing: list[Work],
         unsettled: list[Machine],
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -36,7 +36,7 @@
 TAKEOVER_STAGGER_S = 0.3  # between the attempts of two nodes to take over a share
 
 
-class Holding:
+class OwnedShare:
     """A share that this node owns."""
 
     __slots__ = ("_attempts", "epoch", "handing_back", "number", "settled", "since")
@@ -71,13 +71,13 @@
         context: Context,
         store: Store,
         authority: Authority,
-        on_gain: Callable[[Holding], None],
+        on_gain: Callable[[OwnedShare], None],
         on_loss: Callable[[ShareNo], None],
     ) -> None:
         self.context = context
         self.store = store
         self.authority = authority
-        self.owned: dict[ShareNo, Holding] = {}
+        self.owned: dict[ShareNo, OwnedShare] = {}
         self._on_gain = on_gain
         self._on_loss = on_loss
         self._takeovers_pending: set[ShareNo] = set()  # requested, not answered yet
@@ -191,7 +191,7 @@
             self._on_loss(share)
             holding = None
         if owned_here and holding is None:
-            holding = Holding(share, stamp, self.context.now)
+            holding = OwnedShare(share, stamp, self.context.now)
             self.owned[share] = holding
             former = self._former_owner.pop(share, None)
             taken = f", taken over from {former}, whose lease ended" if former else ""
@@ -332,7 +332,7 @@
             done,
         )
 
-    def _overwrite_handback(self, holding: Holding) -> None:
+    def _overwrite_handback(self, holding: OwnedShare) -> None:
         """Writes the share anew after a handover without an answer, so that it can no longer be
         applied."""
 
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -10,7 +10,7 @@
 from .jobs import Job
 from .machine import Machine
 from .placement import ZERO_SIZE, Size
-from .shares import Holding
+from .shares import OwnedShare
 
 MachineConstraints = tuple[bool, tuple[str, ...] | None, str | None]  # spot allowed, types, zone
 
@@ -27,7 +27,7 @@
 class Turn:
     """The machines of a share and the decisions made about them in one turn."""
 
-    holding: Holding
+    holding: OwnedShare
     usable: Callable[[], list[Machine]]  # all that accept new tasks; computed on the first call
     machines_with_room: list[Machine]  # usable, with room for the smallest waiting task
     unlocated: Mapping[Team, Size]  # tasks that may run unknown to this owner
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -11,7 +11,7 @@
 from .machine import Machine
 from .machines import Fleet
 from .placement import ZERO_SIZE, Size
-from .shares import Holding, Shares
+from .shares import OwnedShare, Shares
 from .work import Work, permits
 
 
@@ -45,7 +45,7 @@
                 break
             del self._cancelled[uid]
 
-    def unsettled_representatives(self, holding: Holding) -> list[Machine]:
+    def unsettled_representatives(self, holding: OwnedShare) -> list[Machine]:
         """Returns one unsettled machine of each type, zone and spot kind; none if all is settled.
 
         Unsettled machines may hold tasks that this owner does not know of.
@@ -58,7 +58,7 @@
         }
         return list(kinds.values())
 
-    def may_be_unlocated(self, job: Job, holding: Holding, unsettled: list[Machine]) -> bool:
+    def may_be_unlocated(self, job: Job, holding: OwnedShare, unsettled: list[Machine]) -> bool:
         """Returns whether an earlier owner may have started tasks of the job not located yet.
 
         Only machines where the job's tasks are allowed and fit can hold them: there is no need to
@@ -68,7 +68,7 @@
             permits(job, m) and (m.type is None or job.size.fits(m.type.size)) for m in unsettled
         )
 
-    def by_team(self, holding: Holding, unsettled: list[Machine]) -> dict[Team, Size]:
+    def by_team(self, holding: OwnedShare, unsettled: list[Machine]) -> dict[Team, Size]:
         """Returns what each team's unlocated tasks may take.
 
         These are tasks of open jobs, and of jobs cancelled lately, which may not have stopped yet.
@@ -84,7 +84,7 @@
         capacity = self._unsettled_capacity(holding)
         return {team: Size(*map(min, size, capacity)) for team, size in found.items()}
 
-    def _candidates(self, holding: Holding) -> list[tuple[Job, int]]:
+    def _candidates(self, holding: OwnedShare) -> list[tuple[Job, int]]:
         """Returns jobs of the share and how many tasks of each are not located."""
         found = [
             (work.job, len(work.pending))
@@ -97,7 +97,7 @@
                 found.append((job, job.spec.tasks - job.done_count - placed))
         return found
 
-    def _unsettled_capacity(self, holding: Holding) -> Size:
+    def _unsettled_capacity(self, holding: OwnedShare) -> Size:
         """Returns the total size of the unsettled machines; unlimited if a type is not known."""
         capacity = ZERO_SIZE
         for machine in self.fleet.of_share(holding.number).unsettled():
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -9,7 +9,7 @@
 from ..core.jobs import JobSpec
 from ..core.machine import Machine, Placement
 from ..core.policy import Candidate, MoveProposal
-from ..core.shares import Holding
+from ..core.shares import OwnedShare
 from ..core.work import Work
 from .costs import Costs
 from .fairness import SourceFairness
@@ -87,7 +87,7 @@
         if placement.job is not None:
             self.tracker.record_completion(placement.job.spec, placement.machine, ran_s)
 
-    def share_gained(self, holding: Holding, now: Instant) -> None:
+    def share_gained(self, holding: OwnedShare, now: Instant) -> None:
         """Begins the move budget of a share that is owned here from now on."""
         self.bounds.share_gained(holding.number, now)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -11,7 +11,7 @@
 from runcourse.core.machine import Machine, Placement, Record
 from runcourse.core.placement import Size
 from runcourse.core.quota import Quota
-from runcourse.core.shares import Holding
+from runcourse.core.shares import OwnedShare
 from runcourse.core.work import Work, fetch_s
 
 
@@ -28,7 +28,7 @@
     machine = Machine(
         id,
         record,
-        Holding(ShareNo(0), 1, Instant(0.0)),  # type: ignore[arg-type]
+        OwnedShare(ShareNo(0), 1, Instant(0.0)),  # type: ignore[arg-type]
         Instant(0.0),
     )
     machine.set_type(TYPE)
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -19,7 +19,7 @@
 from runcourse.core.placement import Size
 from runcourse.core.scheduler import Scheduler
 from runcourse.core.share_machines import ShareMachines
-from runcourse.core.shares import Holding
+from runcourse.core.shares import OwnedShare
 from runcourse.core.turn import Turn
 from runcourse.core.work import Work
 
@@ -98,7 +98,7 @@
 
     def checked_prepare_turn(
         scheduler: Scheduler,
-        holding: Holding,
+        holding: OwnedShare,
         waiting: list[Work],
         failing: list[Work],
         unsettled: list[Machine],
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -32,7 +32,7 @@
 from runcourse.core.leader.transfers import MAX_CHANGE_BACKLOG_S
 from runcourse.core.node import Node
 from runcourse.core.running_counts import RUNNING_PAGE, PeerCounts, RunningPages
-from runcourse.core.shares import Holding
+from runcourse.core.shares import OwnedShare
 from runcourse.core.stored_values import MACHINE, GoneMachine, MachineValue
 from runcourse.core.users import FAIR_BACKLOG_S
 from runcourse.core.versions import PAGED_LOADS_VERSION
@@ -52,7 +52,7 @@
     """At 4,000 machines an owner starts a million tasks within an hour. An overflow of the
     counter's bits made the owner reuse earlier attempt numbers."""
     million = 1 << COUNTER_BITS
-    holding = Holding(ShareNo(0), Stamp(5), Instant(0.0))
+    holding = OwnedShare(ShareNo(0), Stamp(5), Instant(0.0))
     first = holding.next_attempt()
     holding._attempts = million - 1
     beyond = [holding.next_attempt() for _ in range(3)]
