--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -101,9 +101,9 @@
             if may_preempt:
                 self.preemption.make_room_for_gang(turn, work)
             return count
-        holding = self.shares.owned[work.share]
+        owned_share = self.shares.owned[work.share]
         attempt = work.attempt if any(work.zones.values()) else None
-        attempt = holding.next_attempt() if attempt is None else attempt
+        attempt = owned_share.next_attempt() if attempt is None else attempt
         for number, machine in plan.places:
             self.fleet.placements.place(job, number, machine, attempt)
         self.context.log(
--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -38,7 +38,7 @@
 
     def plentiful(
         self,
-        holding: OwnedShare,
+        owned_share: OwnedShare,
         waiting: list[Work],
         usable: Callable[[], list[Machine]],
         machines_with_room: list[Machine],
@@ -56,9 +56,9 @@
         total = sum(wanted.values())
         if total <= sum(m.room.cpus for m in machines_with_room):
             return frozenset()
-        held = self._held.get(holding.number, NEVER_COUNTED)
+        held = self._held.get(owned_share.number, NEVER_COUNTED)
         if self.context.now >= held.at + COUNT_INTERVAL_S:
-            held = self._held[holding.number] = self._count(usable())
+            held = self._held[owned_share.number] = self._count(usable())
         if not held.cpus:
             return frozenset()
         return frozenset(
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -267,19 +267,19 @@
         """
         now = self.context.now
         limit = self.fleet.silence_limit_s()
-        for holding in self.shares.owned.values():
-            if not self.shares.may_command(holding.number):
+        for owned_share in self.shares.owned.values():
+            if not self.shares.may_command(owned_share.number):
                 continue
-            machines = self.fleet.of_share(holding.number)
+            machines = self.fleet.of_share(owned_share.number)
             found = {
                 m.id: m
                 for m in machines.no_message_since(now - limit)
-                if m.last_message_at >= 0 or m.record.stamp <= holding.epoch
+                if m.last_message_at >= 0 or m.record.stamp <= owned_share.epoch
             }
             found |= {m.id: m for m in machines.suspected() if self.fleet.unreached_s(m) > limit}
             # If most machines are silent, this node is more likely cut off itself. Their leases
             # end all the same, because their reports are not answered.
-            if len(found) > max(1, machines.count_ever_seen(holding.epoch) // 2):
+            if len(found) > max(1, machines.count_ever_seen(owned_share.epoch) // 2):
                 continue
             for machine in found.values():
                 if not machine.record.leaving and not machine.moving:
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -186,12 +186,14 @@
         "used",
     )
 
-    def __init__(self, id: MachineId, record: Record, holding: OwnedShare, now: Instant) -> None:
+    def __init__(
+        self, id: MachineId, record: Record, owned_share: OwnedShare, now: Instant
+    ) -> None:
         self.id = id
         self.index: MachineIndex | None = None  # of its share
         self.position = 0  # in the order in which machines were added to the share
         self.record = record
-        self.share = holding
+        self.share = owned_share
         self.type: MachineType | None = None
         self.addr = ""
         self.session = Session(0)
@@ -207,9 +209,9 @@
         self.counter = 0
         # A machine recorded after the takeover can't hold tasks of an earlier owner: it was
         # new then, or was transferred while empty.
-        self.settled = record.stamp > holding.epoch
+        self.settled = record.stamp > owned_share.epoch
         self.expired_session = Session(0)
-        self.last_answer = now if self.settled else holding.since
+        self.last_answer = now if self.settled else owned_share.since
         self.last_message_at = LONG_AGO
         self.up_since = Instant(0.0)
         self.notice_until: Instant | None = None
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -127,14 +127,14 @@
         )
         self._update_record(id, before, record)
         machine = self.machines.get(id)
-        holding = self.shares.owned.get(record.share)
-        if machine is not None and holding is machine.share:
+        owned_share = self.shares.owned.get(record.share)
+        if machine is not None and owned_share is machine.share:
             machine.record = record
         elif machine is not None:
             self._drop(id, "moved")
             machine = None
-        if machine is None and holding is not None:
-            self._add(id, record, holding)
+        if machine is None and owned_share is not None:
+            self._add(id, record, owned_share)
 
     def _update_record(self, id: MachineId, before: Record | None, record: Record | None) -> None:
         """Replaces the machine's record and updates the counts of records."""
@@ -149,8 +149,8 @@
                 self.leaving[id] = None
         self.watch_record(id, before, record)
 
-    def _add(self, id: MachineId, record: Record, holding: OwnedShare) -> None:
-        machine = Machine(id, record, holding, self.context.now)
+    def _add(self, id: MachineId, record: Record, owned_share: OwnedShare) -> None:
+        machine = Machine(id, record, owned_share, self.context.now)
         machine.set_type(self.types.get(record.type))
         machine.addr = self.addrs.get(id, "")
         self.machines[id] = machine
@@ -208,11 +208,11 @@
                 self.placements.remove(placement, why)
             self.observer.capacity_changed()
 
-    def add_share(self, holding: OwnedShare) -> None:
+    def add_share(self, owned_share: OwnedShare) -> None:
         """Adds the machines of a share that this node now owns."""
         for id, record in self.records.items():
-            if record.share == holding.number:
-                self._add(id, record, holding)
+            if record.share == owned_share.number:
+                self._add(id, record, owned_share)
 
     def remove_share(self, share: ShareNo) -> None:
         """Removes the machines of a share that this node no longer owns."""
@@ -242,11 +242,12 @@
                     for machine in self.of_share(number).not_answered_since(lease_start):
                         if machine.placements or not machine.settled:
                             self._expire(machine)
-        for holding in self.shares.owned.values():
-            if not holding.settled and not self.of_share(holding.number).unsettled():
-                holding.settled = True
+        for owned_share in self.shares.owned.values():
+            if not owned_share.settled and not self.of_share(owned_share.number).unsettled():
+                owned_share.settled = True
                 self.context.log(
-                    "info", f"share {holding.number} settled after {now - holding.since:.2f} s"
+                    "info",
+                    f"share {owned_share.number} settled after {now - owned_share.since:.2f} s",
                 )
                 self.observer.capacity_changed()
 
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -110,8 +110,8 @@
             if reason:
                 self._give_up(task, move, reason)
         if self.policy.rebalances and self._moves_allowed():
-            for holding in self.shares.owned.values():
-                self._plan(holding)
+            for owned_share in self.shares.owned.values():
+                self._plan(owned_share)
 
     def _observe_interval_s(self) -> float:
         return max(OBSERVE_INTERVAL_S, len(self.fleet.machines) / OBSERVED_MACHINES_PER_S)
@@ -144,14 +144,14 @@
 
     # Planning
 
-    def _plan(self, holding: OwnedShare) -> None:
+    def _plan(self, owned_share: OwnedShare) -> None:
         """Begins at most one move of the share at a time, among a random sample of its machines."""
-        share, now = holding.number, self.context.now
+        share, now = owned_share.number, self.context.now
         if (
-            not holding.settled
+            not owned_share.settled
             or not self.shares.may_command(share)
             or self.unmet.get(share)
-            or any(move.placement.machine.share is holding for move in self._moves.values())
+            or any(move.placement.machine.share is owned_share for move in self._moves.values())
             or not self.policy.may_plan(share, now)
         ):
             return
@@ -258,7 +258,7 @@
     def serve(self, turn: Turn) -> None:
         """Starts the moved tasks of this share whose attempts have ended, before all others."""
         for task, move in list(self._moves.items()):
-            if not move.stopped or move.target.share is not turn.holding:
+            if not move.stopped or move.target.share is not turn.owned_share:
                 continue
             work = self.work.get(task.job)
             if work is None or task.number not in work.pending:
@@ -269,7 +269,7 @@
             if self._can_start(turn, work, task, move.target):
                 del self._moves[task]
                 self.counts["completed"] += 1
-                attempt = turn.holding.next_attempt()
+                attempt = turn.owned_share.next_attempt()
                 self.fleet.placements.place(work.job, task.number, move.target, attempt)
             else:
                 self._give_up(task, move, "its target cannot take it")
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -225,9 +225,9 @@
     def _on_lost(self, why: str) -> None:
         self.shares.drop_all()
 
-    def _on_gain(self, holding: OwnedShare) -> None:
-        self.fleet.add_share(holding)
-        self.scheduler.gain(holding)
+    def _on_gain(self, owned_share: OwnedShare) -> None:
+        self.fleet.add_share(owned_share)
+        self.scheduler.gain(owned_share)
 
     def _on_loss(self, share: ShareNo) -> None:
         self.fleet.remove_share(share)
--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -64,7 +64,7 @@
     def finished(self, placement: Placement, ran_s: float) -> None:
         """Records that a task completed after running for `ran_s` seconds."""
 
-    def share_gained(self, holding: OwnedShare, now: Instant) -> None:
+    def share_gained(self, owned_share: OwnedShare, now: Instant) -> None:
         """Called when this node becomes the owner of a share."""
 
     def share_lost(self, share: ShareNo) -> None:
@@ -119,7 +119,7 @@
     def finished(self, placement: Placement, ran_s: float) -> None:
         """Does nothing."""
 
-    def share_gained(self, holding: OwnedShare, now: Instant) -> None:
+    def share_gained(self, owned_share: OwnedShare, now: Instant) -> None:
         """Does nothing."""
 
     def share_lost(self, share: ShareNo) -> None:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -139,12 +139,12 @@
         elif job.uid not in self.work:
             self._open(job, share)
 
-    def gain(self, holding: OwnedShare) -> None:
+    def gain(self, owned_share: OwnedShare) -> None:
         """Adds the open jobs of a share that is owned here from now on."""
-        self.policy.share_gained(holding, self.context.now)
+        self.policy.share_gained(owned_share, self.context.now)
         for job in self.jobs.open_jobs():
-            if self.shares.of_team(Team(job.spec.team)) == holding.number:
-                self._open(job, holding.number)
+            if self.shares.of_team(Team(job.spec.team)) == owned_share.number:
+                self._open(job, owned_share.number)
 
     def lose(self, share: ShareNo) -> None:
         """Drops the work of a share that is not owned here any more."""
@@ -280,29 +280,29 @@
         self._queued_jobs = 0
         self.budget.begin()
         self.preemption.begin()
-        for holding in list(self.shares.owned.values()):
-            if self.shares.may_command(holding.number):
-                self._run_turn(holding)
+        for owned_share in list(self.shares.owned.values()):
+            if self.shares.may_command(owned_share.number):
+                self._run_turn(owned_share)
             else:
                 self._dirty = True
         # The cost of a turn delays the next one, so that a long queue is processed less often.
         cost_s = self.budget.cost_s() + self._queued_jobs / QUEUED_JOBS_PER_S
         self._next_turn = Instant(now + min(MIN_TURN_GAP_S + cost_s, MAX_TURN_GAP_S))
 
-    def _run_turn(self, holding: OwnedShare) -> None:
-        waiting, failing, unsettled = self._classify_pending(holding)
+    def _run_turn(self, owned_share: OwnedShare) -> None:
+        waiting, failing, unsettled = self._classify_pending(owned_share)
         if not waiting and not failing:
-            self.unmet[holding.number] = []
+            self.unmet[owned_share.number] = []
             return
         self._queued_jobs += len(waiting)
-        if not self._has_attempt_numbers(holding, waiting):
+        if not self._has_attempt_numbers(owned_share, waiting):
             self._dirty = True
             return
         urgency = {work.job.uid: self.order.urgency(work) for work in waiting}
         waiting.sort(key=lambda work: urgency[work.job.uid])
-        turn = self._prepare_turn(holding, waiting, failing, unsettled)
+        turn = self._prepare_turn(owned_share, waiting, failing, unsettled)
         plentiful = self.image_supply.plentiful(
-            holding, waiting, turn.usable, turn.machines_with_room
+            owned_share, waiting, turn.usable, turn.machines_with_room
         )
         self.migrations.serve(turn)
         self.placement.serve_overdue(turn, waiting)
@@ -310,13 +310,13 @@
         # preempt them there at once.
         for _, works in groupby(waiting, key=lambda work: urgency[work.job.uid][:2]):
             self._serve_priority(turn, works, plentiful)
-        self.unmet[holding.number] = turn.unmet
+        self.unmet[owned_share.number] = turn.unmet
         # Failing work comes last; no machine is hired for it, and nothing is preempted.
         for work in failing:
             self._probe(turn, work)
 
     def _classify_pending(
-        self, holding: OwnedShare
+        self, owned_share: OwnedShare
     ) -> tuple[list[Work], list[Work], list[Machine]]:
         """Returns the work that may be started, the work that fails everywhere, and the
         representatives of the machines that may hold unknown tasks.
@@ -326,9 +326,9 @@
         now = self.context.now
         waiting: list[Work] = []
         failing: list[Work] = []
-        unsettled = self.unlocated.unsettled_representatives(holding)
-        for work in self._work_with_pending_tasks(holding.number):
-            if self.unlocated.may_be_unlocated(work.job, holding, unsettled):
+        unsettled = self.unlocated.unsettled_representatives(owned_share)
+        for work in self._work_with_pending_tasks(owned_share.number):
+            if self.unlocated.may_be_unlocated(work.job, owned_share, unsettled):
                 work.wait_reason = "share not settled"
             elif work.fails_everywhere:
                 failing.append(work)
@@ -348,23 +348,23 @@
             del pending[uid]
         return list(pending.values())
 
-    def _has_attempt_numbers(self, holding: OwnedShare, waiting: list[Work]) -> bool:
+    def _has_attempt_numbers(self, owned_share: OwnedShare, waiting: list[Work]) -> bool:
         """Returns whether the share has attempt numbers for all tasks that this turn may start.
 
         It lacks them only if millions of tasks would start before anything is stored.
         """
         pending = sum(len(work.pending) for work in waiting)
-        max_starts = MAX_LISTED_TASKS * len(self.fleet.of_share(holding.number))
-        return holding.has_attempt_numbers(min(pending, max_starts), self.store.applied)
+        max_starts = MAX_LISTED_TASKS * len(self.fleet.of_share(owned_share.number))
+        return owned_share.has_attempt_numbers(min(pending, max_starts), self.store.applied)
 
     def _prepare_turn(
         self,
-        holding: OwnedShare,
+        owned_share: OwnedShare,
         waiting: list[Work],
         failing: list[Work],
         unsettled: list[Machine],
     ) -> Turn:
-        machines = self.fleet.of_share(holding.number)
+        machines = self.fleet.of_share(owned_share.number)
         self.scoring.begin(machines.service_cpus)
 
         @cache
@@ -377,10 +377,10 @@
         # tasks might be preempted there.
         machines_with_room = [m for m in machines.with_room(smallest) if self.fleet.usable(m)]
         return Turn(
-            holding,
+            owned_share,
             usable,
             machines_with_room,
-            self.unlocated.by_team(holding, unsettled),
+            self.unlocated.by_team(owned_share, unsettled),
             self.gang_placement.reserve(waiting, usable),
         )
 
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -164,13 +164,13 @@
 
     def may_command(self, share: ShareNo) -> bool:
         """Returns whether this node may command the share's machines now."""
-        holding = self.owned.get(share)
+        owned_share = self.owned.get(share)
         # The takeover may succeed before this node has read everything up to its revision. Jobs
         # cancelled until then must be known before anything is answered or commanded.
         return (
-            holding is not None
-            and not holding.handing_back
-            and self.store.applied >= holding.epoch
+            owned_share is not None
+            and not owned_share.handing_back
+            and self.store.applied >= owned_share.epoch
             and self.authority.entitled()
         )
 
@@ -178,25 +178,25 @@
 
     def _changed(self, key: str, value: Any, stamp: Stamp) -> None:
         share = ShareNo(int(key[len(SHARE) :]))
-        holding = self.owned.get(share)
+        owned_share = self.owned.get(share)
         owned_here = (
             value is not None
             and value.owner == self.context.me
             and value.incarnation == self.authority.incarnation
             and self.authority.live
         )
-        if holding is not None and (not owned_here or stamp > holding.epoch):
+        if owned_share is not None and (not owned_here or stamp > owned_share.epoch):
             del self.owned[share]
             self.context.log("info", f"share {share} lost at epoch {stamp}")
             self._on_loss(share)
-            holding = None
-        if owned_here and holding is None:
-            holding = OwnedShare(share, stamp, self.context.now)
-            self.owned[share] = holding
+            owned_share = None
+        if owned_here and owned_share is None:
+            owned_share = OwnedShare(share, stamp, self.context.now)
+            self.owned[share] = owned_share
             former = self._former_owner.pop(share, None)
             taken = f", taken over from {former}, whose lease ended" if former else ""
             self.context.log("info", f"share {share} owned, epoch {stamp}{taken}")
-            self._on_gain(holding)
+            self._on_gain(owned_share)
             if self.store.applied < stamp:
                 self.store.sync()
 
@@ -301,30 +301,30 @@
         return ranked.index(self.context.me) if self.context.me in ranked else 0
 
     def _consider_handback(self, share: ShareNo) -> None:
-        holding = self.owned[share]
+        owned_share = self.owned[share]
         home = self.context.home(share)
-        if home == self.context.me or holding.handing_back or not holding.settled:
+        if home == self.context.me or owned_share.handing_back or not owned_share.settled:
             return
         incarnation, since = self._live_since.get(home, (None, self.context.now))
         if incarnation is None or self.context.now - since < HANDBACK_AFTER_S * (1 + CLOCK_DRIFT):
             return
-        if self.context.now - holding.since < HANDBACK_AFTER_S:
+        if self.context.now - owned_share.since < HANDBACK_AFTER_S:
             return
         # The next owner must locate the share's tasks anew, and would wait for each silent machine.
         if (
             not self.all_machines_reachable(share)
-            and self.context.now - holding.since < HANDBACK_DEADLINE_S
+            and self.context.now - owned_share.since < HANDBACK_DEADLINE_S
         ):
             return
         # Nothing is commanded until the answer, because the home node commands once it is stored.
-        holding.handing_back = True
+        owned_share.handing_back = True
         self.context.log("info", f"share {share} handed back to {home}")
 
         def done(result: CommitResult, stamp: Stamp) -> None:
             if result in (CommitResult.CONFLICT, CommitResult.REFUSED):
-                holding.handing_back = False
+                owned_share.handing_back = False
             elif result is CommitResult.UNKNOWN:
-                self._overwrite_handback(holding)
+                self._overwrite_handback(owned_share)
 
         self.store.commit(
             [self.guard(share), self.store.expect(LIVE + home)],
@@ -332,19 +332,19 @@
             done,
         )
 
-    def _overwrite_handback(self, holding: OwnedShare) -> None:
+    def _overwrite_handback(self, owned_share: OwnedShare) -> None:
         """Writes the share anew after a handover without an answer, so that it can no longer be
         applied."""
 
         def done(result: CommitResult, stamp: Stamp) -> None:
             if (
                 result in (CommitResult.UNKNOWN, CommitResult.REFUSED)
-                and holding.number in self.owned
+                and owned_share.number in self.owned
             ):
-                self._overwrite_handback(holding)
+                self._overwrite_handback(owned_share)
 
-        if self.owned.get(holding.number) is holding:
+        if self.owned.get(owned_share.number) is owned_share:
             value = ShareValue(self.context.me, self.authority.incarnation)
             self.store.commit(
-                [self.guard(holding.number)], [Write(self.key(holding.number), value)], done
+                [self.guard(owned_share.number)], [Write(self.key(owned_share.number), value)], done
             )
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -14,7 +14,7 @@
     shares = []
     for number in node.shares.all():
         owner = node.shares.owner(number)
-        holding = node.shares.owned.get(number)
+        owned_share = node.shares.owned.get(number)
         shares.append(
             {
                 "share": number,
@@ -22,7 +22,7 @@
                 "owner": owner[0] if owner else None,
                 "alive": node.shares.living_owner(number) is not None,
                 "epoch": node.store.stamp(node.shares.key(number)),
-                "settled": holding.settled if holding else None,
+                "settled": owned_share.settled if owned_share else None,
             }
         )
     machines = [
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -71,7 +71,7 @@
         goes, so that overdue work gets a part of all starts. Serving all of it first would make
         the work that arrives meanwhile overdue as well.
         """
-        share = turn.holding.number
+        share = turn.owned_share.number
         overdue = [w for w in waiting if self.order.overdue(w)]
         credit = self._overdue_credit.get(share, 0.0) if overdue else 0.0
         for work in sorted(overdue, key=lambda w: (w.job.submitted, w.job.uid)):
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -27,7 +27,7 @@
 class Turn:
     """The machines of a share and the decisions made about them in one turn."""
 
-    holding: OwnedShare
+    owned_share: OwnedShare
     usable: Callable[[], list[Machine]]  # all that accept new tasks; computed on the first call
     machines_with_room: list[Machine]  # usable, with room for the smallest waiting task
     unlocated: Mapping[Team, Size]  # tasks that may run unknown to this owner
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -45,30 +45,30 @@
                 break
             del self._cancelled[uid]
 
-    def unsettled_representatives(self, holding: OwnedShare) -> list[Machine]:
+    def unsettled_representatives(self, owned_share: OwnedShare) -> list[Machine]:
         """Returns one unsettled machine of each type, zone and spot kind; none if all is settled.
 
         Unsettled machines may hold tasks that this owner does not know of.
         """
-        if holding.settled:
+        if owned_share.settled:
             return []
         kinds = {
             (m.record.type, m.record.zone, m.record.spot): m
-            for m in self.fleet.of_share(holding.number).unsettled()
+            for m in self.fleet.of_share(owned_share.number).unsettled()
         }
         return list(kinds.values())
 
-    def may_be_unlocated(self, job: Job, holding: OwnedShare, unsettled: list[Machine]) -> bool:
+    def may_be_unlocated(self, job: Job, owned_share: OwnedShare, unsettled: list[Machine]) -> bool:
         """Returns whether an earlier owner may have started tasks of the job not located yet.
 
         Only machines where the job's tasks are allowed and fit can hold them: there is no need to
         wait for the others.
         """
-        return job.accepted <= holding.epoch and any(
+        return job.accepted <= owned_share.epoch and any(
             permits(job, m) and (m.type is None or job.size.fits(m.type.size)) for m in unsettled
         )
 
-    def by_team(self, holding: OwnedShare, unsettled: list[Machine]) -> dict[Team, Size]:
+    def by_team(self, owned_share: OwnedShare, unsettled: list[Machine]) -> dict[Team, Size]:
         """Returns what each team's unlocated tasks may take.
 
         These are tasks of open jobs, and of jobs cancelled lately, which may not have stopped yet.
@@ -77,30 +77,30 @@
         if not unsettled:
             return {}
         found: dict[Team, Size] = {}
-        for job, count in self._candidates(holding):
-            if count > 0 and self.may_be_unlocated(job, holding, unsettled):
+        for job, count in self._candidates(owned_share):
+            if count > 0 and self.may_be_unlocated(job, owned_share, unsettled):
                 team = Team(job.spec.team)
                 found[team] = found.get(team, ZERO_SIZE).plus(job.size.times(count))
-        capacity = self._unsettled_capacity(holding)
+        capacity = self._unsettled_capacity(owned_share)
         return {team: Size(*map(min, size, capacity)) for team, size in found.items()}
 
-    def _candidates(self, holding: OwnedShare) -> list[tuple[Job, int]]:
+    def _candidates(self, owned_share: OwnedShare) -> list[tuple[Job, int]]:
         """Returns jobs of the share and how many tasks of each are not located."""
         found = [
             (work.job, len(work.pending))
             for work in self.work.values()
-            if work.share == holding.number
+            if work.share == owned_share.number
         ]
         for job, _ in self._cancelled.values():
-            if self.shares.of_team(Team(job.spec.team)) == holding.number:
+            if self.shares.of_team(Team(job.spec.team)) == owned_share.number:
                 placed = len(self.fleet.placements.of_job(job.uid))
                 found.append((job, job.spec.tasks - job.done_count - placed))
         return found
 
-    def _unsettled_capacity(self, holding: OwnedShare) -> Size:
+    def _unsettled_capacity(self, owned_share: OwnedShare) -> Size:
         """Returns the total size of the unsettled machines; unlimited if a type is not known."""
         capacity = ZERO_SIZE
-        for machine in self.fleet.of_share(holding.number).unsettled():
+        for machine in self.fleet.of_share(owned_share.number).unsettled():
             if machine.type is None:
                 return Size(math.inf, math.inf, math.inf)
             capacity = capacity.plus(machine.type.size)
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -87,9 +87,9 @@
         if placement.job is not None:
             self.tracker.record_completion(placement.job.spec, placement.machine, ran_s)
 
-    def share_gained(self, holding: OwnedShare, now: Instant) -> None:
+    def share_gained(self, owned_share: OwnedShare, now: Instant) -> None:
         """Begins the move budget of a share that is owned here from now on."""
-        self.bounds.share_gained(holding.number, now)
+        self.bounds.share_gained(owned_share.number, now)
 
     def share_lost(self, share: ShareNo) -> None:
         """Forgets a share that is not owned here any more."""
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -80,11 +80,13 @@
         cooldown = self._cooldowns.get(placement.task)
         if cooldown is not None:
             return now >= cooldown.until
-        holding = placement.machine.share
-        if placement.attempt >> COUNTER_BITS >= holding.epoch:
+        owned_share = placement.machine.share
+        if placement.attempt >> COUNTER_BITS >= owned_share.epoch:
             return True
         # An earlier owner started it, and may have moved it as often as was allowed.
-        return now >= later(self._owned_since.get(holding.number, now), self.settings.cooldown_most)
+        return now >= later(
+            self._owned_since.get(owned_share.number, now), self.settings.cooldown_most
+        )
 
     def record_move(self, task: TaskId, share: ShareNo, now: Instant) -> None:
         """Counts a move that was begun, and starts the next cooldown of the task."""
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -47,12 +47,14 @@
         assert machine_ids(machines.not_answered_since(since)) == machine_ids(
             m for m in all_machines if m.last_answer < since
         )
-    for holding in node.shares.owned.values():
-        if node.fleet.of_share(holding.number) is machines:
+    for owned_share in node.shares.owned.values():
+        if node.fleet.of_share(owned_share.number) is machines:
             known = [
-                m for m in all_machines if m.last_message_at >= 0 or m.record.stamp <= holding.epoch
+                m
+                for m in all_machines
+                if m.last_message_at >= 0 or m.record.stamp <= owned_share.epoch
             ]
-            assert machines.count_ever_seen(holding.epoch) == len(known)
+            assert machines.count_ever_seen(owned_share.epoch) == len(known)
 
 
 def machine_ids(machines: Any) -> set[MachineId]:
@@ -64,13 +66,15 @@
     fleet, scheduler = node.fleet, node.scheduler
     assert dict(fleet.groups.counts()) == dict(MachineGroups(fleet.records.values()).counts())
     assert set(fleet.leaving) == {id for id, r in fleet.records.items() if r.leaving}
-    for holding in node.shares.owned.values():
-        machines = fleet.of_share(holding.number)
-        of_share = {id for id, m in fleet.machines.items() if m.share is holding}
+    for owned_share in node.shares.owned.values():
+        machines = fleet.of_share(owned_share.number)
+        of_share = {id for id, m in fleet.machines.items() if m.share is owned_share}
         assert machine_ids(machines) == of_share
         check_share(node, machines, node.context.now)
-        expected = [w for w in scheduler.work.values() if w.pending and w.share == holding.number]
-        assert {w.job.uid for w in scheduler._work_with_pending_tasks(holding.number)} == {
+        expected = [
+            w for w in scheduler.work.values() if w.pending and w.share == owned_share.number
+        ]
+        assert {w.job.uid for w in scheduler._work_with_pending_tasks(owned_share.number)} == {
             w.job.uid for w in expected
         }
     task_sizes = Counter((job.spec.team, job.spec.cpus) for job in node.jobs.open_jobs())
@@ -98,17 +102,17 @@
 
     def checked_prepare_turn(
         scheduler: Scheduler,
-        holding: OwnedShare,
+        owned_share: OwnedShare,
         waiting: list[Work],
         failing: list[Work],
         unsettled: list[Machine],
     ) -> Turn:
-        turn = prepare_turn(scheduler, holding, waiting, failing, unsettled)
+        turn = prepare_turn(scheduler, owned_share, waiting, failing, unsettled)
         sizes = [w.job.size for w in (*waiting, *failing)]
         min_size = Size(*(min(size[n] for size in sizes) for n in range(3)))
         expected = [
             m
-            for m in scheduler.fleet.of_share(holding.number)
+            for m in scheduler.fleet.of_share(owned_share.number)
             if m.room.cpus + ROOM_TOLERANCE_CPUS >= min_size.cpus
             and min_size.fits(m.room)
             and scheduler.fleet.usable(m)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -129,36 +129,38 @@
     world.submit(spec("j-000009", tasks=2, service=True, cpus=1.0))
     world.until(lambda: len(world.on_machines()) == 2, 10)
     node = next(n for n in world.nodes.values() if n is not None and n.scheduler.work)
-    holding = next(
+    owned_share = next(
         h for h in node.shares.owned.values() if h.number == node.shares.of_team("team-0")
     )  # type: ignore[arg-type]
     # As after a takeover: no task is located yet.
-    holding.settled = False
-    unsettled = list(node.fleet.of_share(holding.number))[-1]
+    owned_share.settled = False
+    unsettled = list(node.fleet.of_share(owned_share.number))[-1]
     unsettled.unsettle()
     work = next(iter(node.scheduler.work.values()))
     work.pending = {1: None, 0: None}
     node.scheduler.enqueue(work)
-    work.job.accepted = holding.epoch
-    later = Job(spec("j-000010", tasks=1, cpus=1.0), holding.epoch + 1)  # type: ignore[arg-type]
-    for placement in placements_in_share(node, holding.number):
+    work.job.accepted = owned_share.epoch
+    later = Job(spec("j-000010", tasks=1, cpus=1.0), owned_share.epoch + 1)  # type: ignore[arg-type]
+    for placement in placements_in_share(node, owned_share.number):
         node.quota.remove(placement)
     assert node.quota.allows(later), "the located tasks alone would leave room"
-    later_work = Work(later, holding.number)
+    later_work = Work(later, owned_share.number)
     later_work.pending = {0: None}
     node.scheduler.enqueue(later_work)
-    node.scheduler._run_turn(holding)
+    node.scheduler._run_turn(owned_share)
     assert TaskId(later.uid, 0) not in node.fleet.placements.by_task
     # A machine that can't hold such tasks counts for none of them.
     unsettled.record = unsettled.record._replace(spot=True)
     unlocated_tasks = node.scheduler.unlocated
-    assert not unlocated_tasks.by_team(holding, unlocated_tasks.unsettled_representatives(holding))
-    holding.settled = unsettled.settled = True
+    assert not unlocated_tasks.by_team(
+        owned_share, unlocated_tasks.unsettled_representatives(owned_share)
+    )
+    owned_share.settled = unsettled.settled = True
     work.pending = {}
-    node.scheduler._run_turn(holding)
+    node.scheduler._run_turn(owned_share)
     assert TaskId(later.uid, 0) in node.fleet.placements.by_task, [
         (m.id, m.room, node.fleet.usable(m), node.scheduler.work[later.uid].wait_reason)
-        for m in node.fleet.of_share(holding.number)
+        for m in node.fleet.of_share(owned_share.number)
     ]
 
 
@@ -171,23 +173,25 @@
     world.until(lambda: len(world.on_machines()) == 3, 10)
     node = next(n for n in world.nodes.values() if n is not None and n.scheduler.work)
     number = node.shares.of_team("team-0")  # type: ignore[arg-type]
-    holding = node.shares.owned[number]
+    owned_share = node.shares.owned[number]
     for placement in placements_in_share(node, number):
         node.fleet.placements.remove(placement, "share lost")
-    holding.settled = False
+    owned_share.settled = False
     unsettled = list(node.fleet.of_share(number))[:2]
     for machine in unsettled:
         machine.unsettle()
     job = node.jobs.get("j-000011")  # type: ignore[arg-type]
     assert job is not None
-    job.accepted = holding.epoch
+    job.accepted = owned_share.epoch
     job.stage = "cancelled"
     node.scheduler.job_changed(job)
 
     unlocated_tasks = node.scheduler.unlocated
 
     def unlocated_cpus() -> float:
-        found = unlocated_tasks.by_team(holding, unlocated_tasks.unsettled_representatives(holding))
+        found = unlocated_tasks.by_team(
+            owned_share, unlocated_tasks.unsettled_representatives(owned_share)
+        )
         return found["team-0"].cpus if found else 0.0  # type: ignore[index]
 
     assert unlocated_cpus() == 6.0
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -52,10 +52,10 @@
     """At 4,000 machines an owner starts a million tasks within an hour. An overflow of the
     counter's bits made the owner reuse earlier attempt numbers."""
     million = 1 << COUNTER_BITS
-    holding = OwnedShare(ShareNo(0), Stamp(5), Instant(0.0))
-    first = holding.next_attempt()
-    holding._attempts = million - 1
-    beyond = [holding.next_attempt() for _ in range(3)]
+    owned_share = OwnedShare(ShareNo(0), Stamp(5), Instant(0.0))
+    first = owned_share.next_attempt()
+    owned_share._attempts = million - 1
+    beyond = [owned_share.next_attempt() for _ in range(3)]
     assert len({first, *beyond}) == 4 and [first, *beyond] == sorted([first, *beyond])
     assert beyond[-1] < make_attempt(Stamp(7), 0), "lower than any number of the next owner"
     assert highest_epoch(Stamp(5), million) == 6
@@ -65,14 +65,14 @@
     """A counter overflow yields the number of a later epoch. As long as the store has not reached
     that revision, the next owner of the share may use the same number."""
     node, machine = owner_and_machine(ready())
-    holding = machine.share
-    holding._attempts = (int(node.store.applied - holding.epoch) + 1 << COUNTER_BITS) - 1
-    job = Job(spec("j-000001", tasks=1), Stamp(holding.epoch + 1))
-    node.scheduler._open(job, holding.number)
-    node.scheduler._run_turn(holding)
+    owned_share = machine.share
+    owned_share._attempts = (int(node.store.applied - owned_share.epoch) + 1 << COUNTER_BITS) - 1
+    job = Job(spec("j-000001", tasks=1), Stamp(owned_share.epoch + 1))
+    node.scheduler._open(job, owned_share.number)
+    node.scheduler._run_turn(owned_share)
     assert node.scheduler.work[job.uid].pending
     node.store.applied = Stamp(node.store.applied + 1)
-    node.scheduler._run_turn(holding)
+    node.scheduler._run_turn(owned_share)
     assert not node.scheduler.work[job.uid].pending
 
 
