--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -20,7 +20,7 @@
 from runcourse.core.jobs import MAX_TASKS, PART_BITS, fit_spec, job_value, name_digest
 from runcourse.core.leader.adoption import FoundMachine
 from runcourse.core.node import Node
-from runcourse.core.order import QueueOrder
+from runcourse.core.queue_order import QueueOrder
 from runcourse.core.quota import Quota
 from runcourse.core.sizes import json_size
 
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -9,9 +9,9 @@
 from runcourse.core.ids import Instant, ShareNo
 from runcourse.core.image_supply import HeldImages
 from runcourse.core.jobs import Job
-from runcourse.core.order import OVERDUE_AFTER_S
 from runcourse.core.placement import ZERO_SIZE
 from runcourse.core.preemption import MIN_RUNTIME_S
+from runcourse.core.queue_order import OVERDUE_AFTER_S
 from runcourse.core.task_placement import OVERDUE_START_FRACTION
 from runcourse.core.work import Work
 
