--- a/runcourse/cli.py
+++ b/runcourse/cli.py
@@ -14,7 +14,7 @@
 from .policy_file import PolicyFile
 
 if TYPE_CHECKING:
-    from .core.entitlement import EntitlementPolicy
+    from .core.entitlement_policy import EntitlementPolicy
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from .context import Context
-from .entitlement import EntitlementPolicy
+from .entitlement_policy import EntitlementPolicy
 from .ids import Instant, Stamp
 from .shares import Shares
 from .sizes import json_size
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from ..context import Context
-from ..entitlement import EntitlementPolicy, PoolState, ShareState
+from ..entitlement_policy import EntitlementPolicy, PoolState, ShareState
 from ..ids import ShareNo
 from ..machines import Fleet
 from ..placement import count_fitting
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -7,7 +7,7 @@
 from ...wire.peer_messages import ReturnMachine, ShareLoad
 from ..authority import Authority
 from ..context import Context
-from ..entitlement import EntitlementPolicy
+from ..entitlement_policy import EntitlementPolicy
 from ..ids import LONG_AGO, Instant, MachineId, Member, ShareNo
 from ..machine import Record
 from ..machines import Fleet
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -7,7 +7,7 @@
 
 from ...wire.peer_messages import TransferMachine, VacateMachine, YieldMachines
 from ..context import Context
-from ..entitlement import Reassignment
+from ..entitlement_policy import Reassignment
 from ..ids import Instant, ShareNo
 from ..machine import Record
 from ..machines import Fleet
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -26,7 +26,7 @@
 from .confirmations import Confirmations
 from .context import Context
 from .divisions import Divisions
-from .entitlement import EntitlementPolicy, NoEntitlements
+from .entitlement_policy import EntitlementPolicy, NoEntitlements
 from .ids import LONG_AGO, Instant, JobId, MachineId, Member, ShareNo, Stamp
 from .jobs import DONE, JOB, PART, PART_BITS, Jobs
 from .leader.rental import Rental
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -15,7 +15,7 @@
 
 from .config import Operators, Platform, parse_address
 from .core import types
-from .core.entitlement import EntitlementPolicy
+from .core.entitlement_policy import EntitlementPolicy
 from .core.ids import Instant, Member
 from .core.node import Node
 from .core.status import status_of
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from ..core.entitlement import OrganisationName, PoolState, Reassignment, ShareOfTeam
+from ..core.entitlement_policy import OrganisationName, PoolState, Reassignment, ShareOfTeam
 from ..core.ids import LONG_AGO, Instant, ShareNo
 from ..core.stored_values import Division, OrganisationLimits
 from .limits import validate_limits
@@ -18,7 +18,7 @@
 
 
 class Entitlements:
-    """Implements `core.entitlement.EntitlementPolicy`."""
+    """Implements `core.entitlement_policy.EntitlementPolicy`."""
 
     active = True
 
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from ..core.entitlement import OrganisationName, PoolState, Reassignment, ShareState
+from ..core.entitlement_policy import OrganisationName, PoolState, Reassignment, ShareState
 from ..core.ids import Instant, ShareNo
 from ..core.stored_values import OrganisationLimits
 from .fairshare import Claim, allocate
--- a/runcourse/entitlements/team_mapping.py
+++ b/runcourse/entitlements/team_mapping.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from ..core.entitlement import ShareOfTeam
+from ..core.entitlement_policy import ShareOfTeam
 from ..core.ids import ShareNo, Team
 from .settings import Organisation
 
--- a/tests/test_entitlement_parts.py
+++ b/tests/test_entitlement_parts.py
@@ -9,7 +9,7 @@
 import pytest
 from world import platform
 
-from runcourse.core.entitlement import PoolState, Reassignment, ShareState
+from runcourse.core.entitlement_policy import PoolState, Reassignment, ShareState
 from runcourse.core.ids import Instant, ShareNo
 from runcourse.core.stored_values import Division, OrganisationLimits
 from runcourse.entitlements.limits import validate_limits
