--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -113,7 +113,7 @@
         ends = sorted(self._grants_held.values(), reverse=True)
         return max(self.until, ends[needed - 1])
 
-    def entitled(self) -> bool:
+    def may_act(self) -> bool:
         """Returns whether this node may act now."""
         return self.context.now < self.ends_at()
 
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -171,7 +171,7 @@
             owned_share is not None
             and not owned_share.handing_back
             and self.store.applied >= owned_share.epoch
-            and self.authority.entitled()
+            and self.authority.may_act()
         )
 
     # --- gaining and losing --------------------------------------------------------------
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -69,7 +69,7 @@
     ]
     return {
         "member": node.context.me,
-        "entitled": node.authority.entitled(),
+        "entitled": node.authority.may_act(),
         "contact_s": round(now - node.store.last_contact, 2) if node.store.ready else None,
         "leader": node.rental.leadership.leader(),
         "leading": node.rental.leadership.leading,
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -25,7 +25,7 @@
     def collect(self) -> Iterable[Metric]:
         node = self.node
         gauges = [
-            ("runcourse_entitled", "1 while this controller may act", node.authority.entitled()),
+            ("runcourse_entitled", "1 while this controller may act", node.authority.may_act()),
             ("runcourse_leading", "1 on the leader", node.rental.leadership.leading),
             (
                 "runcourse_contact_age_seconds",
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -241,7 +241,7 @@
     assert world.cancel(UID, accepting_node) == "cancelled"
     world.state.outage(True)
     world.run(owner_node.authority.ttl + owner_node.authority.grant_s + 1.0)
-    assert not owner_node.authority.entitled()
+    assert not owner_node.authority.may_act()
     run_past_cancellation_limit(world)
     assert not world.on_machines()
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -131,7 +131,7 @@
     world.state.refused_members.add("n0")
     world.run(10.0)
     node = world.nodes["n0"]
-    assert node is not None and not node.authority.entitled()
+    assert node is not None and not node.authority.may_act()
     other = world.nodes["n1"]
     assert other is not None and all(other.shares.living_owner(s) for s in other.shares.all())
     world.state.refused_members.clear()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -115,7 +115,7 @@
         world.cut_links.add(frozenset(("n0", other)))
     world.run(6.0)
     node = world.nodes["n0"]
-    assert node is not None and not node.authority.entitled()
+    assert node is not None and not node.authority.may_act()
     answers = []
     for machine in list(node.fleet.machines.values()):
         world.ask(machine.id, "n0", t.ReportReceived(0, report_of(machine, 9, 1)), answers.append)
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -192,7 +192,7 @@
     world.duplicate_rate = 0.0
     world.run(20.0)
     assert len(world.on_machines()) == 4 and not world.violations
-    assert all(n is not None and n.authority.entitled() for n in world.nodes.values())
+    assert all(n is not None and n.authority.may_act() for n in world.nodes.values())
 
 
 def test_duplicate_commit_of_a_former_process_does_not_replace_the_live_key() -> None:
@@ -223,7 +223,7 @@
     assert (
         restarted is not None
         and restarted.authority.incarnation == incarnation
-        and restarted.authority.entitled()
+        and restarted.authority.may_act()
     )
 
 
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -162,7 +162,7 @@
     shares = set(node.shares.owned)
     assert shares
     world.run(node.authority.ttl + node.authority.grant_s + 0.5)
-    assert not node.authority.entitled()
+    assert not node.authority.may_act()
     health = [e for e in node.handle(world.now, t.Health(1)) if isinstance(e, t.UserAnswer)]
     assert health[0].status == 503, "the other nodes can be assumed to serve"
     other = world.nodes[members[1]]
