--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -155,7 +155,7 @@
         "id",
         "images",
         "index",
-        "last_answer",
+        "last_answer_at",
         "last_message_at",
         "last_reached_at",
         "last_success_at",
@@ -211,7 +211,7 @@
         # new then, or was transferred while empty.
         self.settled = record.stamp > owned_share.epoch
         self.expired_session = Session(0)
-        self.last_answer = now if self.settled else owned_share.since
+        self.last_answer_at = now if self.settled else owned_share.since
         self.last_message_at = LONG_AGO
         self.up_since = Instant(0.0)
         self.notice_until: Instant | None = None
@@ -259,7 +259,7 @@
 
     def note_answer(self, now: Instant) -> None:
         """Records that the worker's lease counts from now at the latest."""
-        self.last_answer = max(self.last_answer, now)
+        self.last_answer_at = max(self.last_answer_at, now)
         if self.index is not None:
             self.index.lease_renewed(self)
 
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -135,7 +135,7 @@
         """Returns the machines whose workers got their last answer before `at`."""
         found: list[Machine] = []
         for machine in self._by_last_answer.values():
-            if machine.last_answer >= at:
+            if machine.last_answer_at >= at:
                 break
             found.append(machine)
         return found
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -45,7 +45,7 @@
         silent = machine_ids(m for m in all_machines if max(m.last_message_at, m.added) < since)
         assert machine_ids(machines.no_message_since(since)) == silent
         assert machine_ids(machines.not_answered_since(since)) == machine_ids(
-            m for m in all_machines if m.last_answer < since
+            m for m in all_machines if m.last_answer_at < since
         )
     for owned_share in node.shares.owned.values():
         if node.fleet.of_share(owned_share.number) is machines:
--- a/tests/test_late_copies.py
+++ b/tests/test_late_copies.py
@@ -240,7 +240,7 @@
     world = ready(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     known_when_sent = machine.known_state
-    machine.last_answer = Instant(node.context.now - node.context.lease_s + 0.1)
+    machine.last_answer_at = Instant(node.context.now - node.context.lease_s + 0.1)
     new_session_report = t.Report(
         machine.id,
         machine.addr,
--- a/tests/test_owed_machines.py
+++ b/tests/test_owed_machines.py
@@ -92,7 +92,7 @@
     assert is_draining(world, machine)
     world.cut_links.clear()
     world.workers[str(machine.id)].hung = True
-    machine.last_message_at = machine.last_answer = owner.context.now  # not silent yet
+    machine.last_message_at = machine.last_answer_at = owner.context.now  # not silent yet
     with patch.object(owner.fleet, "silence_limit_s", lambda: 1e6):
         world.run(VACATE_TIMEOUT_S)
     assert not is_draining(world, machine)
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -133,8 +133,8 @@
     node.fleet.commands.suspect(machine)
     assert answer_status(report.seq) == 200, "reports are answered for a while"
     machine.suspected_at = Instant(node.context.now - node.fleet.silence_limit_s() - 0.1)
-    last_answer_at = machine.last_answer
-    assert answer_status(report.seq + 1) == 503 and machine.last_answer == last_answer_at
+    last_answer_at = machine.last_answer_at
+    assert answer_status(report.seq + 1) == 503 and machine.last_answer_at == last_answer_at
 
 
 def test_orders_in_an_answer_that_leave_no_trace_make_the_machine_suspected() -> None:
