--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -141,7 +141,7 @@
     """A machine of a share that this node owns, and the known state of its worker."""
 
     __slots__ = (
-        "added",
+        "added_at",
         "addr",
         "command_in_flight",
         "counter",
@@ -237,7 +237,7 @@
         self.errors: dict[JobId, Instant] = {}
         self.last_success_at = LONG_AGO  # when a task last completed here
         self.empty_since: Instant | None = now
-        self.added = now
+        self.added_at = now
         self.draining_until = now  # until then its replicas move away and it gets no new tasks
         self.service_cpus = 0.0  # of services placed on it
         self.moving = False  # a change of its record is in flight: it gets no new tasks
--- a/runcourse/core/share_machines.py
+++ b/runcourse/core/share_machines.py
@@ -127,7 +127,7 @@
     def no_message_since(self, at: float) -> Iterable[Machine]:
         """Yields the machines that were added and sent their last message before `at`."""
         for machine in self._by_last_message.values():
-            if max(machine.last_message_at, machine.added) >= at:
+            if max(machine.last_message_at, machine.added_at) >= at:
                 return
             yield machine
 
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -42,7 +42,7 @@
     )
     for age_s in (0.5, 2.0, 8.0):
         since = now - age_s
-        silent = machine_ids(m for m in all_machines if max(m.last_message_at, m.added) < since)
+        silent = machine_ids(m for m in all_machines if max(m.last_message_at, m.added_at) < since)
         assert machine_ids(machines.no_message_since(since)) == silent
         assert machine_ids(machines.not_answered_since(since)) == machine_ids(
             m for m in all_machines if m.last_answer_at < since
