--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -116,7 +116,7 @@
         reachable = [
             m for m, at in self._heartbeat_at.items() if self.context.now - at < PEER_TIMEOUT_S
         ]
-        owner = self.shares.living_owner(self.shares.of_team(Team(job.spec.team)))
+        owner = self.shares.live_owner(self.shares.of_team(Team(job.spec.team)))
         return owner in reachable or 1 + len(reachable) >= self.quorum
 
     def _request_evidence(self, job: Job, inquiry: _Inquiry) -> None:
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -209,7 +209,7 @@
         """
         if self.policy.same_organisation(giver, taker):
             return True
-        owner = self.shares.living_owner(giver)
+        owner = self.shares.live_owner(giver)
         return (
             owner is not None
             and self.versions.reads(owner, DIVISIONS_VERSION)
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -293,7 +293,7 @@
 
     def send_to_owner(self, share: ShareNo, message: MachineRequest) -> None:
         """Sends a request to the owner of the share, or handles it if that is this node."""
-        owner = self.shares.living_owner(share)
+        owner = self.shares.live_owner(share)
         if owner == self.context.me:
             self.handle(message)
         elif owner is not None:
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -357,7 +357,7 @@
         relayed over the connection between the controllers.
         """
         now = self.context.now
-        owner = self.shares.living_owner(share)
+        owner = self.shares.live_owner(share)
         id = received.report.machine
         if owner is None or owner == self.context.me or not self._reachable(owner):
             self._answer(received, ReportAnswer(received.request, 503))
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -147,7 +147,7 @@
         value = self.store.get(self.key(share))
         return (value.owner, value.incarnation) if value else None
 
-    def living_owner(self, share: ShareNo) -> Member | None:
+    def live_owner(self, share: ShareNo) -> Member | None:
         """Returns the owner if its lease is valid, or None."""
         owner = self.owner(share)
         if owner and self.authority.live_incarnation(owner[0]) == owner[1]:
@@ -294,7 +294,7 @@
             return 0
         load = {m: 0 for m in living}
         for other in self.all():
-            owner = self.living_owner(other)
+            owner = self.live_owner(other)
             if owner in load:
                 load[owner] += 1
         ranked = sorted(living, key=lambda m: (load[m], m == self.context.home(share), m))
--- a/runcourse/core/status.py
+++ b/runcourse/core/status.py
@@ -20,7 +20,7 @@
                 "share": number,
                 "home": node.context.home(number),
                 "owner": owner[0] if owner else None,
-                "alive": node.shares.living_owner(number) is not None,
+                "alive": node.shares.live_owner(number) is not None,
                 "epoch": node.store.stamp(node.shares.key(number)),
                 "settled": owned_share.settled if owned_share else None,
             }
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -252,7 +252,7 @@
 
     def notify_owner(self, share: ShareNo, message: PeerMessage) -> None:
         """Sends a message to the owner of the share, if that is another node."""
-        owner = self.shares.living_owner(share)
+        owner = self.shares.live_owner(share)
         if owner is not None and owner != self.context.me:
             self.context.emit(SendToPeer(owner, message))
 
@@ -274,7 +274,7 @@
         if self._answer_final(request, uid):
             return
         share = self.shares.of_team(Team(job.spec.team))
-        owner = self.shares.living_owner(share)
+        owner = self.shares.live_owner(share)
         if owner is None:
             # No node is certain to learn of it in time: a former owner may hold grants.
             self.refuse(request, 503, RETRY_AFTER_S, "the job's share has no owner at the moment")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -93,7 +93,7 @@
     world.run(12.0)
     node = world.nodes["n1"]
     assert node is not None
-    owners = {node.shares.living_owner(s) for s in node.shares.all()}
+    owners = {node.shares.live_owner(s) for s in node.shares.all()}
     assert owners == {"n1", "n2"}
     assert len(world.on_machines()) == 4 and not world.violations
 
@@ -133,7 +133,7 @@
     node = world.nodes["n0"]
     assert node is not None and not node.authority.may_act()
     other = world.nodes["n1"]
-    assert other is not None and all(other.shares.living_owner(s) for s in other.shares.all())
+    assert other is not None and all(other.shares.live_owner(s) for s in other.shares.all())
     world.state.refused_members.clear()
     world.run(15.0)
     assert len(world.on_machines()) == 4 and not world.violations
@@ -214,7 +214,7 @@
     node = world.nodes["n1"]
     assert node is not None
     share = node.shares.of_team("team-0")  # type: ignore[arg-type]
-    owner = node.shares.living_owner(share)
+    owner = node.shares.live_owner(share)
     accepting_node = next(m for m in ("n0", "n1", "n2") if m != owner)
     world.crash(str(owner))
     world.until(lambda: _sees_no_owner(world, accepting_node, share), 10)
@@ -229,7 +229,7 @@
 
 def _sees_no_owner(world: World, member: str, share: Any) -> bool:
     node = world.nodes[member]
-    return node is not None and node.shares.living_owner(share) is None
+    return node is not None and node.shares.live_owner(share) is None
 
 
 def test_teams_are_assigned_evenly_and_the_stored_list_decides() -> None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -184,7 +184,7 @@
     for worker in world.workers.values():
         node = next(n for n in world.nodes.values() if n is not None)
         record = node.fleet.records[worker.id]  # type: ignore[index]
-        owner = node.shares.living_owner(record.share)
+        owner = node.shares.live_owner(record.share)
         world.cut_links.add(frozenset((worker.id, str(owner))))
     world.run(20.0)
     assert len(world.on_machines()) == 3 and len(world.starts) == starts
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreached_machines.py
@@ -167,7 +167,7 @@
     assert health[0].status == 503, "the other nodes can be assumed to serve"
     other = world.nodes[members[1]]
     assert other is not None
-    world.until(lambda: all(other.shares.living_owner(s) not in (None, "n0") for s in shares), 10)
+    world.until(lambda: all(other.shares.live_owner(s) not in (None, "n0") for s in shares), 10)
     world.run(12.0)
     assert len(world.on_machines()) == 4
     world.cut_links.clear()
