--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -72,7 +72,7 @@
         self._on_lost = on_lost
         self._request_pending = False
         self._next_request_at = Instant(0.0)
-        self._attested_ends: dict[Member, Incarnation] = {}  # whose lease this node saw end
+        self._attested_ends: dict[Member, Incarnation] = {}  # leases that this node saw end
         self._never_grant: set[Incarnation] = set()  # their leases were seen to have ended
         self._grants_given: dict[Member, Instant] = {}  # end of the grant given to a member
         self._grants_held: dict[Member, Instant] = {}  # end of the grant received from a member
@@ -182,7 +182,7 @@
             elif result is CommitResult.LEASE_ENDED:
                 self.lease = None
 
-        # The process that wrote this key under this name before is dead. A copy of its write, or
+        # An earlier process of this member that wrote the key has ended. A copy of its write, or
         # of this one, may still be applied later: the condition on the stamp makes it fail.
         live_key = LIVE + self.context.me
         self.store.commit(
@@ -279,7 +279,7 @@
         )
 
     def handle_grant_request(self, member: Member, message: GrantRequest) -> None:
-        """Answers a peer without contact, which asks for more time."""
+        """Answers a peer without contact, which requests a quorum grant."""
         now = self.context.now
         incarnation = message.incarnation
         # One failure amid successes is no outage, and must not prolong a peer's authority.
--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -16,7 +16,7 @@
         self.context = context
         self._evaluated = 0
 
-    def begin(self) -> None:
+    def begin_turn(self) -> None:
         """Resets the count at the beginning of a turn."""
         self._evaluated = 0
 
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -1,14 +1,14 @@
 """When an answer to a user may say that a job is cancelled, and the evidence this needs.
 
 A user gets this answer only once every node that can still command the job's machines is
-certain to know of the cancellation, or to have lost its authority, in time. Each of these
+certain to have recorded the cancellation, or to have lost its authority, in time. Each of these
 proves it:
 
 - This node owns the job's share and may command its machines.
 - The share's present owner acknowledges the cancellation over the peer link.
-- A *quorum* of nodes knows of the cancellation. Every majority that could grant an owner more
+- A *quorum* of nodes has recorded the cancellation. Every majority that could grant an owner more
   time includes one of them, and a grant either carries the cancellations that the granting node
-  knows or is refused.
+  has recorded or is refused.
 
 An acknowledgement stays true: a cancellation is stored before it is announced, and a restarted
 process reads everything before it owns a share, grants time or answers. So it does not matter
@@ -28,7 +28,7 @@
 from .store import Store
 from .types import SendToPeer
 
-ANSWER_WITHIN_S = 0.4  # without evidence by then, the answer is when to try again
+ANSWER_WITHIN_S = 0.4  # without evidence by then, the request is refused with a retry delay
 REQUEST_INTERVAL_S = 0.1  # between two requests for the same evidence
 PEER_TIMEOUT_S = 2.5  # a peer without a heartbeat for so long is not waited for
 MAX_UNCONFIRMED_JOBS = 5000  # whose acknowledgements are kept
@@ -76,8 +76,8 @@
 
     @property
     def quorum(self) -> int:
-        """Returns how many nodes must know of a cancellation so that each majority that could grant
-        time to an owner outside of them includes one of them."""
+        """Returns how many nodes must have recorded a cancellation so that each majority that could
+        grant time to an owner outside of them includes one of them."""
         return len(self.context.members) - self.context.majority + 1
 
     def confirm(self, job: Job, then: Waiter) -> None:
@@ -100,12 +100,12 @@
         uid = job.uid
         if uid in self._confirmed:
             return True
-        knowing = {
+        recorded_by = {
             m for m, applied in self._applied_by_peer.items() if ABSENT < job.cancelled <= applied
         }
-        knowing |= self._acknowledged_by.get(uid, set())
+        recorded_by |= self._acknowledged_by.get(uid, set())
         owns = self.shares.may_command(self.shares.of_team(Team(job.spec.team)))
-        if not owns and 1 + len(knowing) < self.quorum:
+        if not owns and 1 + len(recorded_by) < self.quorum:
             return False
         self._confirmed.add(uid)
         self._acknowledged_by.pop(uid, None)
@@ -160,7 +160,7 @@
         return CancellationAck(uid, owns)
 
     def record_ack(self, member: Member, uid: JobId, owner: bool) -> None:
-        """Records that a peer, perhaps as the owner of the job, knows of the cancellation."""
+        """Records a peer's acknowledgement; `owner`: the peer owns the job's share."""
         if uid in self._confirmed:
             return
         if owner:
--- a/runcourse/core/context.py
+++ b/runcourse/core/context.py
@@ -45,7 +45,7 @@
 
     @property
     def lease_s(self) -> float:
-        """Returns how many seconds a worker may go on after its last answer, by this clock."""
+        """Returns the seconds, by this clock, for which a worker may run tasks after an answer."""
         return self.platform.settings.workers.lease_s * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_S
 
     def emit(self, effect: Any) -> None:
--- a/runcourse/core/entitlement_policy.py
+++ b/runcourse/core/entitlement_policy.py
@@ -1,6 +1,6 @@
 """The interface through which entitlements influence how machines are divided among shares.
 
-An entitlement policy answers questions and issues no commands. The leader queries it before it
+An entitlement policy answers queries and issues no commands. The leader queries it before it
 hires machines for a share or asks an owner for machines; stored records, conditions on writes and
 transactions stay with the modules that own them. Without a policy (`NoEntitlements`) the leader
 divides machines by demand alone.
@@ -19,7 +19,7 @@
 
 
 class ShareState(NamedTuple):
-    """What the leader knows of a share: records at one revision, and its owner's report."""
+    """The state of a share, from the records at one revision and its owner's report."""
 
     share: ShareNo
     held: float  # CPUs of the share's machines on record, without machines that are leaving
@@ -30,7 +30,7 @@
 
 
 class PoolState(NamedTuple):
-    """All shares of the pool as the leader sees them at one moment."""
+    """The states of all shares of the pool at one moment."""
 
     shares: Sequence[ShareState]
     largest_machine_cpus: float  # of the machines on record
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -45,7 +45,7 @@
         """
         now = self.context.now
         machine, uid = placement.machine, work.job.uid
-        work.errors[machine.id] = work.errors.get(machine.id, 0) + 1
+        work.failure_counts[machine.id] = work.failure_counts.get(machine.id, 0) + 1
         work.max_time_to_failure_s = max(
             work.max_time_to_failure_s, now - (placement.ran_since or placement.since)
         )
@@ -54,22 +54,26 @@
             if now >= work.not_before:
                 self._delay_retry(work)
             return
-        repeated = now - machine.errors.get(uid, LONG_AGO) < FAULT_PERIOD_S and self._has_success(
-            work
-        )
-        machine.errors[uid] = now
+        repeated = now - machine.last_failures.get(
+            uid, LONG_AGO
+        ) < FAULT_PERIOD_S and self._has_success(work)
+        machine.last_failures[uid] = now
         if self._fails_everywhere(work):
             self._mark_failing(work)
             return
         recent = [
-            uid for uid, failed_at in machine.errors.items() if now - failed_at < FAULT_PERIOD_S
+            uid
+            for uid, failed_at in machine.last_failures.items()
+            if now - failed_at < FAULT_PERIOD_S
         ]
         if len(recent) >= FAULTY_MACHINE_JOBS or repeated:
             machine.quarantined_until = Instant(now + FAULT_PERIOD_S)
             self.context.log(
                 "warning", f"machine {machine.id}: tasks of {len(recent)} jobs failed, set aside"
             )
-        elif len(work.errors) == 1:  # on a second machine the job itself is more likely at fault
+        elif (
+            len(work.failure_counts) == 1
+        ):  # on a second machine the job itself is more likely at fault
             machine.quarantined_until = max(
                 machine.quarantined_until, Instant(now + FIRST_FAILURE_PAUSE_S)
             )
@@ -82,16 +86,16 @@
         """
         if self._has_success(work):
             return False
-        if len(work.errors) >= FAILING_MACHINES:
+        if len(work.failure_counts) >= FAILING_MACHINES:
             return True
         machines = self.fleet.machines
         healthy = sum(
             id in machines and self.context.now - machines[id].last_success_at < FAULT_PERIOD_S
-            for id in work.errors
+            for id in work.failure_counts
         )
         return healthy >= FAILING_HEALTHY_MACHINES or (
-            sum(work.errors.values()) >= FAILING_ATTEMPTS
-            and (len(work.errors) >= FAILING_FEW_MACHINES or healthy >= 1)
+            sum(work.failure_counts.values()) >= FAILING_ATTEMPTS
+            and (len(work.failure_counts) >= FAILING_FEW_MACHINES or healthy >= 1)
         )
 
     def _has_success(self, work: Work) -> bool:
@@ -116,20 +120,21 @@
         work.fails_everywhere = True
         self.context.log(
             "warning",
-            f"job {uid}: failed on {len(work.errors)} machines, tried again one task at a time",
+            f"job {uid}: failed on {len(work.failure_counts)} machines,"
+            " tried again one task at a time",
         )
         self._delay_retry(work)
-        for id in work.errors:
+        for id in work.failure_counts:
             machine = self.fleet.machines.get(id)
-            if machine is not None and machine.errors.pop(uid, None) is not None:
+            if machine is not None and machine.last_failures.pop(uid, None) is not None:
                 recent = [
                     failed_at
-                    for failed_at in machine.errors.values()
+                    for failed_at in machine.last_failures.values()
                     if now - failed_at < FAULT_PERIOD_S
                 ]
                 if len(recent) < FAULTY_MACHINE_JOBS:
                     machine.quarantined_until = now
-        # Tasks that have not started yet would fetch their image in vain.
+        # Tasks that have not started yet would fetch their image for nothing.
         for placement in self.fleet.placements.of_job(uid):
             if placement.stage in ("sent", "fetching"):
                 self.fleet.placements.stop(placement)
@@ -148,5 +153,5 @@
             work.fails_everywhere = False
             work.not_before = LONG_AGO
             self._changed()
-        work.errors.clear()
+        work.failure_counts.clear()
         work.max_time_to_failure_s = 0.0
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -76,7 +76,7 @@
     def serve(self, turn: Turn, work: Work, machines: Iterable[Machine], may_preempt: bool) -> int:
         """Starts all pending tasks of the gang, or none; returns how many tasks lack room.
 
-        With `may_preempt`, lesser work is preempted if the gang finds no room.
+        With `may_preempt`, work of lower priority is preempted if the gang finds no room.
         """
         job, count = work.job, len(work.pending)
         work.wait_reason = self.gangs.check_startable(work)
@@ -222,9 +222,10 @@
         return RESERVE_AFTER_S if wait_limit_s is None else wait_limit_s / WAIT_LIMIT_DIVISOR
 
     def _least_lacking(self, work: Work, machines: list[Machine]) -> list[Machine] | None:
-        """Returns the machines where least room has to fall free for the whole gang.
+        """Returns the machines on which the least room must still fall free for the whole gang.
 
-        They are in one zone if the job demands it. None: they will not have enough room soon.
+        They are in one zone if the job requires it. Returns None if no set of machines will have
+        enough room soon.
         """
         job, count = work.job, len(work.pending)
         # By zone: tasks that fit now, tasks that fit soon, and the machine.
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -63,16 +63,16 @@
         """Records that a task was ordered to stop, which ends the attempt."""
         work.ending = True
 
-    def attempt_ended(self, work: Work, placement: Placement, why: str) -> None:
-        """Handles the end of a task of a job that is not done; `why` is the reason."""
+    def attempt_ended(self, work: Work, placement: Placement, reason: str) -> None:
+        """Handles the end of an attempt of a task that is not done."""
         now = self.context.now
         if placement.attempt == work.attempt:
-            if why in ("mates", "error") or placement.stage_before in ("running", "saving"):
+            if reason in ("mates", "error") or placement.stage_before in ("running", "saving"):
                 work.started = True
-            if why == "incomplete" and self._fetches_images(work):
+            if reason == "incomplete" and self._fetches_images(work):
                 # Ending the attempt would waste the others' fetches: this task is placed again.
                 work.not_before = Instant(now + INCOMPLETE_BACKOFF_S)
-            elif why == "incomplete" and not work.ending:
+            elif reason == "incomplete" and not work.ending:
                 backoff_s = min(
                     MAX_INCOMPLETE_BACKOFF_S,
                     INCOMPLETE_BACKOFF_S
@@ -95,7 +95,7 @@
             self._reset_attempt(work)
 
     def _fetches_images(self, work: Work) -> bool:
-        """Returns whether the gang has neither started nor ended, and tasks of it still fetch."""
+        """Returns whether the gang still waits to start and tasks of it fetch images."""
         return (
             not work.started
             and not work.ending
@@ -113,9 +113,9 @@
 
     def _stop_remaining(self, work: Work) -> None:
         """Stops the tasks that can't go on alone; those already stopping may finish saving."""
-        for member in self.fleet.placements.of_job(work.job.uid):
-            if not member.stopping:
-                self.fleet.placements.stop(member)
+        for placement in self.fleet.placements.of_job(work.job.uid):
+            if not placement.stopping:
+                self.fleet.placements.stop(placement)
 
     def check_startable(self, work: Work) -> str:
         """Returns why no task of the gang may be started now, or "" if all pending tasks may be.
@@ -162,19 +162,19 @@
                 placement, stop_grace_s(placement) if grace_s is None else grace_s
             )
             return
-        members = self.fleet.placements.of_job(work.job.uid)
-        all_reachable = len(members) == work.job.spec.tasks and all(
-            not m.machine.suspected
-            and m.machine.addr
-            and not m.machine.command_in_flight
-            and self.fleet.silent_s(m.machine)
+        placements = self.fleet.placements.of_job(work.job.uid)
+        all_reachable = len(placements) == work.job.spec.tasks and all(
+            not p.machine.suspected
+            and p.machine.addr
+            and not p.machine.command_in_flight
+            and self.fleet.silent_s(p.machine)
             < MAX_SILENT_INTERVALS * self.context.platform.settings.workers.report_s
-            for m in members
+            for p in placements
         )
         work.ending = True
-        for member in members:
-            if not member.stopping:
-                self.fleet.placements.stop(member, stop_grace_s(member) if all_reachable else 0.0)
+        for each in placements:
+            if not each.stopping:
+                self.fleet.placements.stop(each, stop_grace_s(each) if all_reachable else 0.0)
 
     def stop_cost_s(self, placement: Placement) -> float:
         """Returns the seconds of work lost by stopping the task, or all tasks of its gang."""
@@ -182,7 +182,7 @@
         if placement.job is None or not placement.job.spec.gang:
             return lost_work_s(placement, now)
         return sum(
-            lost_work_s(member, now) for member in self.fleet.placements.of_job(placement.task.job)
+            lost_work_s(each, now) for each in self.fleet.placements.of_job(placement.task.job)
         )
 
     def size_after_first(self, work: Work) -> Size:
--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -12,14 +12,14 @@
 from .work import Work, images_being_fetched
 
 # An image is plentiful if the part of CPUs that hold it is this many times its part of the CPUs
-# that waiting tasks ask for.
+# that waiting tasks request.
 PLENTIFUL_FACTOR = 2.0
 MAX_PLENTIFUL_PART = 1.0  # an image that every machine holds is always plentiful
 COUNT_INTERVAL_S = 1.0  # minimum time between two counts of the held images
 
 
 class HeldImages(NamedTuple):
-    """How many CPUs of a share's usable machines hold each image."""
+    """The CPUs of a share's usable machines that hold each image."""
 
     at: Instant
     cpus_by_image: dict[str, float]
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -156,7 +156,7 @@
             job.cancelled = stamp
         # A job that is done or cancelled stays so, whatever the order in which values arrive.
         if not job.final:
-            # What a peer read before this node read the job at all is not forgotten.
+            # A cancellation that a peer reported before this node read the job still applies.
             job.stage = "cancelled" if uid in self._reported_cancelled else value.stage
             if job.final:
                 self._close(job)
--- a/runcourse/core/leader/boot_times.py
+++ b/runcourse/core/leader/boot_times.py
@@ -9,7 +9,7 @@
 from ..machines import Fleet
 from ..types import MachineType
 
-MIN_OVERDUE_FACTOR = 1.5  # on the type's nominal boot time, which usually suffices
+MIN_OVERDUE_FACTOR = 1.5  # on the type's nominal boot time; most boots are faster
 MAX_OVERDUE_FACTOR = 4.0  # on the nominal boot time, where recent boots took longer
 RECENT_BOOT_MARGIN = 1.15  # factor on the longest recent boot
 OVERDUE_SLACK_S = 2.0
@@ -27,13 +27,13 @@
         self.fleet = fleet
         # Recent boot times by type, as multiples of the type's nominal boot time.
         self.recent_ratios: dict[str, deque[float]] = {}
-        self._booting: dict[MachineId, Instant] = {}  # start of boots whose machine is not heard
+        self._booting: dict[MachineId, Instant] = {}  # boot starts of machines without a report
 
     def clear(self) -> None:
         """Drops the boots that were tracked during an earlier leadership."""
         self._booting.clear()
 
-    def started(self, ids: tuple[MachineId, ...], at: Instant) -> None:
+    def track(self, ids: tuple[MachineId, ...], at: Instant) -> None:
         """Tracks machines whose boots began at the given instant."""
         self._booting.update((id, at) for id in ids)
 
@@ -62,12 +62,12 @@
     def give_up_after_s(self, type_: MachineType) -> float:
         """Returns the seconds after which a machine that did not come up is returned.
 
-        Until it is returned it is paid for.
+        The machine is paid for until it is returned.
         """
         return self.overdue_after_s(type_) + GIVE_UP_BOOT_FRACTION * type_.boot_s + GIVE_UP_SLACK_S
 
     def note_boot(self, id: MachineId, type_: MachineType) -> None:
-        """Records how long the boot of a machine took that is heard for the first time."""
+        """Records the boot time of a machine that has reported for the first time."""
         since = self._booting.get(id)
         if since is not None:
             del self._booting[id]
--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -105,10 +105,10 @@
     )
 
 
-def seconds_since_heard(context: Context, machine: Machine) -> float:
-    """Returns the seconds since the machine was last heard, or -1 for a new one never heard.
+def seconds_since_message(context: Context, machine: Machine) -> float:
+    """Returns the seconds since the machine's last message, or -1 for a new one without any.
 
-    A machine that an earlier owner knew is not new: its time counts from the takeover.
+    A machine recorded before the takeover is not new: its time counts from the takeover.
     """
     if machine.last_message_at >= 0:
         return context.now - machine.last_message_at
@@ -136,7 +136,7 @@
         self._remaining: list[Machine] = []  # of the current round, in reverse order
 
     def all(self) -> list[Machine]:
-        """Returns every machine; a leader of a former version needs all in one message."""
+        """Returns all machines; a leader of a former version needs them in one message."""
         return list(self.fleet.of_share(self.share))
 
     def next(self) -> list[Machine]:
@@ -174,7 +174,7 @@
     empty = not machine.busy and machine.empty_since is not None
     idle = context.now - machine.empty_since if empty and machine.empty_since is not None else -1.0
     return MachineLoad(
-        round(seconds_since_heard(context, machine), 2), round(idle, 2), machine.used.cpus
+        round(seconds_since_message(context, machine), 2), round(idle, 2), machine.used.cpus
     )
 
 
--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -28,10 +28,10 @@
 
 
 class ExpectedMachine(NamedTuple):
-    """A recorded machine that has not been heard, as far as the leader knows."""
+    """A recorded machine of which no message has been reported to the leader."""
 
     since: Instant  # when its present record was seen, or the instant its wait counts from
-    confirmed: bool  # its owner reported that it is unheard; False before any such report
+    confirmed: bool  # its owner reported that it got no message; False before that report
 
 
 ReceivedLoad = tuple[Instant, MachineLoad]  # an owner's report on a machine, and its arrival
@@ -93,16 +93,16 @@
                 continue
             self._last_loads[id] = (now, load)
             if load.heard_ago_s < 0:
-                self._note_unheard(id)
+                self._note_no_message(id)
                 continue
             if id in self.expected:
-                self._note_heard(id, record)
+                self._note_first_message(id, record)
             if load.idle_s < 0:
                 idle.pop(id, None)
             else:
                 idle[id] = Instant(now - load.idle_s)
 
-    def _note_unheard(self, id: MachineId) -> None:
+    def _note_no_message(self, id: MachineId) -> None:
         self._idle_since.get(self.fleet.records[id].share, {}).pop(id, None)
         expected = self.expected.get(id)
         if expected is None:
@@ -110,14 +110,14 @@
         elif not expected.confirmed:
             self.expected[id] = expected._replace(confirmed=True)
 
-    def _note_heard(self, id: MachineId, record: Record) -> None:
+    def _note_first_message(self, id: MachineId, record: Record) -> None:
         del self.expected[id]
         type_ = self.fleet.types.get(record.type)
         if type_ is not None:
             self.boot_times.note_boot(id, type_)
 
     def restart_wait(self, id: MachineId, since: Instant) -> None:
-        """Waits for the machine as if it had been recorded at that instant."""
+        """Counts the wait for the machine from that instant."""
         if id in self.expected:
             self.expected[id] = ExpectedMachine(since, confirmed=True)
 
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -220,7 +220,7 @@
             else:
                 self.refused.pop(offering, None)
             if self.leadership.leading:
-                self.boot_times.started(ids, Instant(outcome.began))
+                self.boot_times.track(ids, Instant(outcome.began))
                 self.adoption.adopt(
                     [
                         FoundMachine(id, rent.type, rent.zone, rent.spot, share)
@@ -230,7 +230,7 @@
         elif outcome.status == 503:
             self.note_refusal(offering)
         else:
-            # Throttled, or of unknown outcome: machines hired all the same appear in the list.
+            # Throttled, or of unknown outcome: machines hired nevertheless appear in the list.
             self.refused[offering] = (
                 self.refused.get(offering, (0.0, START))[0],
                 later(self.context.now, RETRY_HIRE_S),
--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -1,4 +1,4 @@
-"""Inventory of the fleet: the cloud's list, unrecorded machines, returns and records of the gone.
+"""Inventory of the fleet: the cloud's list, unrecorded machines, and returned machines.
 
 Only the leader changes any of it.
 """
@@ -112,7 +112,7 @@
         )
 
     def prune(self) -> None:
-        """Forgets returned machines that the store lists as gone."""
+        """Forgets returned machines whose records are replaced by markers."""
         self.adoption.returned -= self.fleet.removed_ids
 
     def _read_list(self) -> None:
@@ -154,7 +154,7 @@
                 self._missing_since.pop(id, None)
             elif began > first + STALE_LIST_LAGS * lag + STALE_LIST_SLACK_S:
                 # Lists may be even older than that, so a single one doesn't prove that a machine
-                # is gone. Nor do several if the machine was heard after they may have been made.
+                # is gone. Nor do several if a message of the machine is newer than they may be.
                 missing = self._missing_since.setdefault(id, began)
                 if began < missing + lag or self._may_still_exist(id, missing):
                     continue
@@ -168,8 +168,8 @@
     def _may_still_exist(self, id: MachineId, missing: Instant) -> bool:
         """Returns whether the machine may exist although lists have omitted it since `missing`.
 
-        That is so if its owner reported that it was heard since then, or if the owner's next
-        report on it is still to come.
+        That is so if its owner reported a message of it since then, or if the owner's next report
+        on it is still to come.
         """
         received = self.view.last_load(id)
         if received is None:
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -16,7 +16,7 @@
 
 
 class Pool:
-    """Passes the pool's state to the policy before each plan, and applies its precedence."""
+    """Passes the pool's state to the policy before each plan, and applies precedence."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.policy = policy
         self.largest_machine_cpus = 0.0  # CPUs of the largest recorded machine
         # Unmet demands of organisations that are short of their targets: they take precedence.
-        self._precedent: list[tuple[ShareNo, Demand]] = []
+        self._priority_demands: list[tuple[ShareNo, Demand]] = []
         self._offerings: Counter[Offering] = Counter()  # recorded machines that are not leaving
 
     def capacity(self) -> float:
@@ -40,12 +40,12 @@
 
     def observe(self, unmet: Unmet) -> None:
         """Passes the present state of the pool to the policy, before a plan is made."""
-        self._precedent = []
+        self._priority_demands = []
         if not self.policy.in_force:
             return
         for line in self.policy.observe(self._state(), self.context.now):
             self.context.log("info", line)
-        self._precedent = [
+        self._priority_demands = [
             (share, demand)
             for share, demands in unmet.items()
             if self.policy.below_target(share)
@@ -73,8 +73,8 @@
         load = self.loads.get(share)
         if load is None or self.context.now - load.at >= LOAD_VALID_S:
             return ShareState(share, held, 0.0, 0.0, 0.0, False)
-        asked = sum(self.machine_cpus(demand) for demand in load.demands)
-        return ShareState(share, held, load.used, load.replicas, asked, True)
+        waiting_cpus = sum(self.machine_cpus(demand) for demand in load.demands)
+        return ShareState(share, held, load.used, load.replicas, waiting_cpus, True)
 
     def machine_cpus(self, demand: Demand) -> float:
         """Returns the CPUs of recorded machines that the waiting tasks could fill.
@@ -101,13 +101,13 @@
         short of its target has waiting tasks that could use the machine.
         """
         return (
-            bool(self._precedent)
+            bool(self._priority_demands)
             and self.policy.meets_target(share)
             and any(
                 demand.count > 0
                 and not self.policy.same_organisation(share, other)
                 and accepts(demand, type_, zone, spot)
                 and count_fitting(demand.size, self.fleet.types[type_].size) > 0
-                for other, demand in self._precedent
+                for other, demand in self._priority_demands
             )
         )
--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/rental.py
@@ -219,7 +219,7 @@
         return found
 
     def _give_up(self, id: MachineId, record: Record, type_: MachineType) -> None:
-        """Returns a machine that did not come up, or much too late, to replace it elsewhere."""
+        """Returns a machine that did not come up in time; hiring then replaces it."""
         self.context.log("info", f"machine {id} did not come up, returned")
         self.hiring.note_refusal((record.type, record.zone, record.spot), FAILED_BOOT_PAUSE_S)
         self.transfers.send_to_owner(record.share, ReturnMachine(id))
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -94,9 +94,9 @@
     def _has_no_demand(self, share: ShareNo, unmet: dict[ShareNo, list[Demand]]) -> bool:
         return not any(d.count > 0 for d in unmet.get(share, ()))
 
-    def _owes(self, giver: ShareNo, taker: ShareNo, incoming_cpus: float = 0.0) -> bool:
-        """Returns whether the taker's organisation is short of its target while the giver's
-        exceeds its own."""
+    def _is_entitled(self, giver: ShareNo, taker: ShareNo, incoming_cpus: float = 0.0) -> bool:
+        """Returns whether the taker's organisation is below its target, also with `incoming_cpus`,
+        while another organisation, the giver's, holds at least its own."""
         return (
             self.policy.in_force
             and not self.policy.same_organisation(giver, taker)
@@ -110,7 +110,8 @@
         """Returns whether the machine may be transferred from the giver to the taker.
 
         A machine that the giver's waiting tasks can't use is lent to any share, first to those
-        short of their target. Any other machine is transferred only as far as it is owed.
+        short of their target. Any other machine is transferred only if the taker's organisation
+        is entitled to it.
         """
         if not self._has_demand_for(giver, record, unmet):
             return not self.pool.must_wait(taker, record.type, record.zone, record.spot)
@@ -204,8 +205,8 @@
     def _may_vacate(self, giver: ShareNo, taker: ShareNo) -> bool:
         """Returns whether the giver may be asked to stop work for the taker.
 
-        Between organisations only owed machines are vacated, and never by an owner of a former
-        version, which would stop replicas too.
+        Between organisations machines are vacated only for an entitled taker, and never by an owner
+        of a former version, which would stop replicas too.
         """
         if self.policy.same_organisation(giver, taker):
             return True
@@ -213,7 +214,7 @@
         return (
             owner is not None
             and self.versions.reads(owner, DIVISIONS_VERSION)
-            and self._owes(giver, taker, self._incoming_cpus(taker))
+            and self._is_entitled(giver, taker, self._incoming_cpus(taker))
         )
 
     def _incoming_cpus(self, taker: ShareNo) -> float:
@@ -242,13 +243,13 @@
     def request_yields(self, cpus: dict[ShareNo, float]) -> None:
         """Asks owners to hand over machines in use as they fall empty; `cpus`: of each share.
 
-        Machines that are owed to other organisations are requested first. Among the shares of
+        Machines that other organisations are entitled to are requested first. Among the shares of
         one organisation they go to the share that needs them most.
         """
         now = self.context.now
         if now < self._next_yield_at:
             return
-        requested = self._request_owed(self.policy.reassignments(now))
+        requested = self._request_reassignments(self.policy.reassignments(now))
         for group in self._shares_by_organisation():
             requested |= self._balance_within({s: cpus[s] for s in group})
         if requested:
@@ -273,15 +274,15 @@
         itself. Returns whether demand exceeded capacity, so that there was something to balance.
         """
         now = self.context.now
-        asked = {
+        cpus_in_demand = {
             s: load.used + sum(d.size.cpus * d.waiting for d in load.demands)
             for s, load in self.loads.items()
             if s in cpus and now - load.at < LOAD_VALID_S
         }
-        total, capacity = sum(asked.values()), sum(cpus[s] for s in asked)
-        if len(asked) < 2 or total <= capacity or capacity <= 0:
+        total, capacity = sum(cpus_in_demand.values()), sum(cpus[s] for s in cpus_in_demand)
+        if len(cpus_in_demand) < 2 or total <= capacity or capacity <= 0:
             return False
-        deficits = {s: capacity * asked[s] / total - cpus[s] for s in asked}
+        deficits = {s: capacity * cpus_in_demand[s] / total - cpus[s] for s in cpus_in_demand}
         taker = max(deficits, key=lambda s: deficits[s])
         giver = min(deficits, key=lambda s: deficits[s])
         demand = max(
@@ -291,14 +292,15 @@
         )
         if (
             demand is not None
-            and asked[taker] * cpus[giver] >= YIELD_IMBALANCE_FACTOR * asked[giver] * cpus[taker]
+            and cpus_in_demand[taker] * cpus[giver]
+            >= YIELD_IMBALANCE_FACTOR * cpus_in_demand[giver] * cpus[taker]
         ):
             # Only half of the difference: demand changes while machines fall empty.
             half = min(deficits[taker], -deficits[giver]) / 2
             self.transfers.send_to_owner(giver, YieldMachines(giver, taker, half, demand.entry))
         return True
 
-    def _request_owed(self, owed: Sequence[Reassignment]) -> bool:
+    def _request_reassignments(self, reassignments: Sequence[Reassignment]) -> bool:
         """Asks givers to yield machines for one demand of each taker, a different one each round.
 
         The demands take turns because the machines of the givers may fit a small one only. All
@@ -306,7 +308,7 @@
         """
         self._demand_index += 1
         cpus_left: dict[ShareNo, float] = {}
-        for giver, taker, cpus in owed:
+        for giver, taker, cpus in reassignments:
             demands = [d for d in self.loads[taker].demands if self.pool.machine_cpus(d) > 0]
             if not demands:
                 continue
--- a/runcourse/core/leader/spare_capacity.py
+++ b/runcourse/core/leader/spare_capacity.py
@@ -26,7 +26,7 @@
 
 
 class SpareCapacity:
-    """Returns machines that stay empty, and drains some when all are only partly used."""
+    """Returns machines that stay empty; drains some of a surplus if no machine is empty."""
 
     def __init__(
         self,
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -30,7 +30,7 @@
 
 VACATE_TIMEOUT_S = 15.0  # for a vacated machine to fall empty
 MAX_CHANGE_BACKLOG_S = 0.3  # open record changes, in seconds of the write budget
-CLAIM_TIMEOUT_S = 4.0  # for the leader to ask for an empty machine owed to another organisation
+CLAIM_TIMEOUT_S = 4.0  # for the leader to request an empty machine for another organisation
 YIELD_TIMEOUT_S = 45.0  # for a yielded machine to fall empty
 RETRY_EVERY_S = 0.3  # between two rounds of retries of record changes
 
@@ -38,8 +38,8 @@
 class PendingTransfer(NamedTuple):
     """A machine to be transferred to another share if it falls empty in time.
 
-    Between organisations the owner only lets it fall empty. What is owed may change meanwhile, so
-    the leader asks for the empty machine if it is still owed.
+    Between organisations the owner only lets it fall empty: entitlements may change meanwhile, so
+    the leader requests the empty machine if the other organisation is still entitled to it.
     """
 
     to: ShareNo
@@ -186,11 +186,11 @@
                 self.change_record(machine, share=transfer.to)
             elif self._claim_expired(machine, transfer):
                 del self._pending[id]
-                machine.draining_until = self.context.now  # the machine is not owed any more
+                machine.draining_until = self.context.now  # no longer claimed
 
     def _claim_expired(self, machine: Machine, transfer: PendingTransfer) -> bool:
-        """Returns whether the machine has been empty for so long that the leader no longer
-        seems to want it."""
+        """Returns whether the machine has been empty for so long without a request of the leader
+        that the transfer is given up."""
         empty = machine.empty_since
         return empty is not None and self.context.now > max(empty, transfer.since) + CLAIM_TIMEOUT_S
 
@@ -243,7 +243,7 @@
         if not self.shares.may_command(share) or not self._is_other_share(share, to):
             return
         unmet = self.scheduler.unmet.get(share, ())
-        # Tasks that wait here have no claim on a machine that is owed to another organisation.
+        # Tasks that wait here have no claim on a machine that another organisation is entitled to.
         if not request.entitled and any(job.spec.rank <= demand.rank for job, _, _ in unmet):
             return
         machine = self.scheduler.draining.vacate(
@@ -278,7 +278,7 @@
             }
             found |= {m.id: m for m in machines.suspected() if self.fleet.unreached_s(m) > limit}
             # If most machines are silent, this node is more likely cut off itself. Their leases
-            # end all the same, because their reports are not answered.
+            # end anyway, because their reports are not answered.
             if len(found) > max(1, machines.count_ever_seen(owned_share.epoch) // 2):
                 continue
             for machine in found.values():
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -121,8 +121,8 @@
         self.start_report_seq = -1
         self.stopping = False
         self.grace_s = 0.0
-        self.forced = False
-        self.fence = Token(0)
+        self.forced = False  # a further stop order shortens the time to save
+        self.fence = Token(0)  # raised at the stop of a task not listed yet; 0: none
         self.since = now
         self.ran_since = Instant(0.0)
 
@@ -148,7 +148,6 @@
         "cpus_by_rank",
         "draining_until",
         "empty_since",
-        "errors",
         "expired_session",
         "fetches",
         "full_until",
@@ -156,6 +155,7 @@
         "images",
         "index",
         "last_answer_at",
+        "last_failures",
         "last_message_at",
         "last_reached_at",
         "last_success_at",
@@ -206,11 +206,11 @@
         self.probe_in_flight = False
         self.last_reached_at = LONG_AGO  # when the worker last proved to be reachable
         self.token_seen = Token(0)
-        self.counter = 0
+        self.counter = 0  # raised for a new token
         # A machine recorded after the takeover can't hold tasks of an earlier owner: it was
         # new then, or was transferred while empty.
         self.settled = record.stamp > owned_share.epoch
-        self.expired_session = Session(0)
+        self.expired_session = Session(0)  # the newest one whose lease expired
         self.last_answer_at = now if self.settled else owned_share.since
         self.last_message_at = LONG_AGO
         self.up_since = Instant(0.0)
@@ -231,10 +231,10 @@
         # no new task is placed there, and an order of unknown outcome may still be executed.
         self.suspect_token = self.base_token
         self.suspected_at = now
-        self.full_until = now
+        self.full_until = now  # after its worker refused a start as full or busy
         self.quarantined_until = now
         # Last failure here of each job, since a task last succeeded here.
-        self.errors: dict[JobId, Instant] = {}
+        self.last_failures: dict[JobId, Instant] = {}
         self.last_success_at = LONG_AGO  # when a task last completed here
         self.empty_since: Instant | None = now
         self.added_at = now
--- a/runcourse/core/machine_groups.py
+++ b/runcourse/core/machine_groups.py
@@ -45,14 +45,14 @@
         return self._counts
 
     def by_zone(self) -> Counter[tuple[ShareNo, str, bool]]:
-        """Returns the machines of each share by zone and spot or not, leaving ones included."""
+        """Returns the number of machines by share, zone and spot kind, leaving ones included."""
         found: Counter[tuple[ShareNo, str, bool]] = Counter()
         for group, number in self._counts.items():
             found[group.share, group.zone, group.spot] += number
         return found
 
     def cpus_by_share(self, types: Mapping[str, MachineType]) -> dict[ShareNo, float]:
-        """Returns the CPUs of each share's machines without leaving ones; empty shares omitted."""
+        """Returns the CPUs of the machines that are not leaving, by share; empty shares omitted."""
         found: dict[ShareNo, float] = {}
         for group, number in self._counts.items():
             if not group.leaving and group.type in types:
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -34,9 +34,9 @@
 TRANSFERRED_STATE_MAX_AGE_S = 5.0
 
 # A machine may be silent or unreached for the longest of: these report intervals; this fraction of
-# its worker's lease; the time that a worker cut off from this node needs to be received by way of
-# a peer (a lost report, RELAY_DELAY_S to try another node, a further report), up to a larger
-# fraction of the lease.
+# its worker's lease; the time that a worker cut off from this node needs to report through a peer
+# (a lost report, RELAY_DELAY_S to try another node, a further report), up to a larger fraction of
+# the lease.
 SILENCE_REPORT_INTERVALS = 2.5
 SILENCE_LEASE_FRACTION = 0.45
 RELAY_DELAY_S = 1.75
@@ -200,12 +200,12 @@
             self.commands.enqueue(machine.id)  # an empty command proves that it is reachable
             self.observer.capacity_changed()
 
-    def _drop(self, id: MachineId, why: str) -> None:
+    def _drop(self, id: MachineId, reason: str) -> None:
         machine = self.machines.pop(id, None)
         if machine is not None:
             self.of_share(machine.share.number).remove(machine)
             for placement in list(machine.placements.values()):
-                self.placements.remove(placement, why)
+                self.placements.remove(placement, reason)
             self.observer.capacity_changed()
 
     def add_share(self, owned_share: OwnedShare) -> None:
@@ -295,7 +295,7 @@
         return self.context.now - machine.last_message_at
 
     def _overdue_since(self) -> float:
-        """Returns the instant; machines without a message since then have missed a report."""
+        """Returns the instant since which a machine without a message counts as overdue."""
         return (
             self.context.now
             - LATE_REPORT_INTERVALS * self.context.platform.settings.workers.report_s
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -222,16 +222,16 @@
         self.context.log("info", f"live as {self.authority.incarnation}")
         self.shares.tick()
 
-    def _on_lost(self, why: str) -> None:
+    def _on_lost(self, reason: str) -> None:
         self.shares.drop_all()
 
     def _on_gain(self, owned_share: OwnedShare) -> None:
         self.fleet.add_share(owned_share)
-        self.scheduler.gain(owned_share)
+        self.scheduler.add_share(owned_share)
 
     def _on_loss(self, share: ShareNo) -> None:
         self.fleet.remove_share(share)
-        self.scheduler.lose(share)
+        self.scheduler.remove_share(share)
 
     # --- jobs in the store ---------------------------------------------------------------
 
@@ -263,7 +263,7 @@
         """Returns whether the store is read and the state service answered recently."""
         return self.store.ready and self.context.now < self.store.last_contact + CONTACT_MAX_AGE_S
 
-    def _health(self, ask: Health) -> None:
+    def _health(self, event: Health) -> None:
         """Answers a health check.
 
         The node is healthy if it has contact with the state service, or if a majority of nodes is
@@ -285,7 +285,7 @@
         )
         ok = self.store.ready and (self._has_contact() or outage)
         self.context.emit(
-            UserAnswer(ask.request, 200 if ok else 503, {"ok": ok, "member": self.context.me})
+            UserAnswer(event.request, 200 if ok else 503, {"ok": ok, "member": self.context.me})
         )
 
     # --- workers -------------------------------------------------------------------------
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -24,22 +24,22 @@
     """Receives notifications of changes to the placements."""
 
     def placement_added(self, placement: Placement) -> None:
-        """The placement counts from now on."""
+        """Called when a placement counts from now on."""
 
     def placement_removed(self, placement: Placement) -> None:
-        """The placement does not count any more."""
+        """Called when a placement no longer counts."""
 
     def stop_requested(self, placement: Placement) -> None:
-        """A stop of the task was requested."""
+        """Called when a stop of the task was requested."""
 
     def attempt_ended(self, placement: Placement, reason: str) -> None:
-        """The attempt has ended for the given reason."""
+        """Called when the attempt has ended, with the reason."""
 
     def running_reported(self, placement: Placement) -> None:
-        """The worker reported the task as running."""
+        """Called when the worker reported the task as running or as done."""
 
     def capacity_changed(self) -> None:
-        """A change may have made room for waiting tasks."""
+        """Called when a change may have made room for waiting tasks."""
 
 
 class PlacementTable:
--- a/runcourse/core/policy.py
+++ b/runcourse/core/policy.py
@@ -61,7 +61,7 @@
     def observe(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
         """Samples the machines owned by this node and the waiting work; called at intervals."""
 
-    def finished(self, placement: Placement, ran_s: float) -> None:
+    def record_completion(self, placement: Placement, ran_s: float) -> None:
         """Records that a task completed after running for `ran_s` seconds."""
 
     def share_gained(self, owned_share: OwnedShare, now: Instant) -> None:
@@ -116,7 +116,7 @@
     def observe(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
         """Does nothing."""
 
-    def finished(self, placement: Placement, ran_s: float) -> None:
+    def record_completion(self, placement: Placement, ran_s: float) -> None:
         """Does nothing."""
 
     def share_gained(self, owned_share: OwnedShare, now: Instant) -> None:
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -14,8 +14,8 @@
 from .jobs import Job
 from .machine import Machine, Placement
 from .machines import Fleet
-from .order import QueueOrder
 from .placement import ZERO_SIZE, Size
+from .queue_order import QueueOrder
 from .quota import Quota
 from .turn import Turn
 from .work import Work, fetch_s, permits, zone_allows_task
@@ -49,8 +49,8 @@
         # request that decide it.
         self._unsatisfiable: dict[tuple[Any, ...], list[Size]] = {}
 
-    def begin(self) -> None:
-        """Begins a turn."""
+    def begin_turn(self) -> None:
+        """Forgets what was found in the previous turn."""
         self._unsatisfiable.clear()
 
     def make_room(
@@ -95,8 +95,8 @@
             return lost_s + (fetch_s(job, machine) if job.spec.service else 0.0), victims
 
         candidates: list[tuple[float, str, Machine]] = []
-        # Most machines hold nothing that may be stopped. The CPUs by rank tell so at less cost than
-        # a pass over their tasks.
+        # Most machines hold nothing that may be stopped. The CPUs by rank show this at less cost
+        # than a pass over their tasks.
         rank = spec.rank - (guaranteed > 0)
         min_cpus = job.size.cpus - CPU_TOLERANCE
         pool = self.budget.sample(
--- a/runcourse/core/queue_order.py
+++ b/runcourse/core/queue_order.py
@@ -11,7 +11,7 @@
 from .quota import Quota
 from .work import Work, has_begun
 
-# A job that waits longer is overdue: without this limit smaller jobs could overtake it for ever.
+# A job that waits longer is overdue: without this limit smaller jobs could overtake it forever.
 OVERDUE_AFTER_S = 120.0
 OVERDUE_RANK = -1  # sorts before every rank
 # Estimates are often wrong by half: the rest of a job that has begun may take less.
@@ -87,7 +87,7 @@
         return (*key, missed, job.submitted + spec.deadline_s, job.uid)
 
     def overdue(self, work: Work) -> bool:
-        """Returns whether the array has waited so long that a part of all starts is its own."""
+        """Returns whether the array has waited so long that it gets a part of all starts."""
         spec = work.job.spec
         return (
             not spec.service
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -1,4 +1,4 @@
-"""Limits, guarantees and holdings of teams, and which work may be preempted for which."""
+"""Limits, guarantees and allocations of teams, and which work may be preempted for which."""
 
 from __future__ import annotations
 
@@ -147,10 +147,10 @@
     ) -> bool:
         """Returns whether the victim may be stopped for the waiting job.
 
-        The section "Preemption" of PROTOCOL allows it for a higher rank, and for a guarantee
-        against work beyond its team's guarantee. It allows a guarantee to stop work of any rank;
-        higher ranks are spared here all the same, since a replica that is stopped for an array
-        costs its users more than the array gains.
+        The workers' protocol, section "Preemption", allows it for a higher rank, and for a
+        guarantee against work beyond its team's guarantee. It allows a guarantee to stop work of
+        any rank; higher ranks are spared here nevertheless, since a replica that is stopped for an
+        array costs its users more than the array gains.
         """
         job = victim.job
         if job is None:
--- a/runcourse/core/reports.py
+++ b/runcourse/core/reports.py
@@ -92,7 +92,7 @@
         """
         number = (report.session, report.seq)
         if report.token < max(machine.token_seen, machine.min_report_token):
-            # Sent before or after a restart of the worker; a probe tells which.
+            # Sent before or after a restart of the worker; a probe shows which.
             if not live:
                 self.commands.probe(machine)
             return False
--- a/runcourse/core/running_counts.py
+++ b/runcourse/core/running_counts.py
@@ -50,7 +50,7 @@
         self._rounds: dict[Member, tuple[dict[JobId, int], dict[JobId, int]]] = {}
 
     def record(self, member: Member, begins: bool, counts: dict[JobId, int]) -> None:
-        """Records the counts of a heartbeat; `begins` tells whether it begins a round."""
+        """Records the counts of a heartbeat; `begins` states whether it begins a round."""
         present, previous = self._rounds.get(member, ({}, {}))
         if begins:
             present, previous = {}, present
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -21,10 +21,10 @@
 from .machine import Machine, Placement
 from .machines import MAX_LISTED_TASKS, Fleet
 from .migrations import Migrations
-from .order import QueueOrder
 from .placement import Size
 from .policy import PlacementPolicy
 from .preemption import Preemption
+from .queue_order import QueueOrder
 from .quota import Quota
 from .scoring import Scoring
 from .shares import OwnedShare, Shares
@@ -69,7 +69,7 @@
         self.order = QueueOrder(context, quota)
         self._dirty = True  # something changed since the last turn
         self._next_turn = Instant(0.0)
-        self._backoff_ends_at = FAR_FUTURE  # when the next backoff ends; ALWAYS: none
+        self._backoff_ends_at = FAR_FUTURE  # when the next backoff ends; FAR_FUTURE: none
         self.finishes = Finishes(context, store, shares)
         self.budget = TurnBudget(context)
         self.policy = policy
@@ -78,7 +78,7 @@
         self._queued_jobs = 0  # jobs that waited in the newest turn
 
     def connect(self, fleet: Fleet, authority: Authority, versions: Versions) -> None:
-        """Completes the scheduler with modules that need it for their own construction.
+        """Completes the scheduler with modules that need it, or each other, for their construction.
 
         The fleet reports changes of placements to the scheduler, which in turn changes placements.
         """
@@ -131,7 +131,7 @@
         """Handles a new job or a change of a job's stage."""
         share = self.shares.of_team(Team(job.spec.team))
         if job.stage == "cancelled":
-            self.unlocated.cancelled(job)
+            self.unlocated.note_cancellation(job)
         if share not in self.shares.owned:
             return
         if job.final:
@@ -139,14 +139,14 @@
         elif job.uid not in self.work:
             self._open(job, share)
 
-    def gain(self, owned_share: OwnedShare) -> None:
+    def add_share(self, owned_share: OwnedShare) -> None:
         """Adds the open jobs of a share that is owned here from now on."""
         self.policy.share_gained(owned_share, self.context.now)
         for job in self.jobs.open_jobs():
             if self.shares.of_team(Team(job.spec.team)) == owned_share.number:
                 self._open(job, owned_share.number)
 
-    def lose(self, share: ShareNo) -> None:
+    def remove_share(self, share: ShareNo) -> None:
         """Drops the work of a share that is not owned here any more."""
         self.policy.share_lost(share)
         for uid in [u for u, w in self.work.items() if w.share == share]:
@@ -218,29 +218,29 @@
         if work is not None and work.job.spec.gang:
             self.gangs.stop_requested(work)
 
-    def attempt_ended(self, placement: Placement, why: str) -> None:
-        """Handles the end of an attempt; `why` is the reason."""
+    def attempt_ended(self, placement: Placement, reason: str) -> None:
+        """Handles the end of an attempt."""
         self._dirty = True
-        self.migrations.attempt_ended(placement, why)
+        self.migrations.attempt_ended(placement, reason)
         work = self.work.get(placement.task.job)
         if work is None:
             return
         index = placement.task.number
         machine = placement.machine
         now = self.context.now
-        if why == "done" and not work.job.spec.service:
+        if reason == "done" and not work.job.spec.service:
             # If one task of a gang is done, all of them are.
             for number in range(work.job.spec.tasks) if work.job.spec.gang else (index,):
                 self.finishes.add(work, number)
-            machine.errors.clear()
+            machine.last_failures.clear()
             machine.last_success_at = now
-            self.policy.finished(placement, now - placement.ran_since)
+            self.policy.record_completion(placement, now - placement.ran_since)
             self.failures.note_success(work)
-        elif why == "error":
+        elif reason == "error":
             self.failures.record_failure(work, placement)
-        elif why in ("full", "busy"):
+        elif reason in ("full", "busy"):
             machine.full_until = Instant(now + MACHINE_FULL_BACKOFF_S)
-        elif why == "unknown":
+        elif reason == "unknown":
             work.not_before = Instant(now + UNKNOWN_TASK_BACKOFF_S)
         if (
             not work.unstored_done_bits >> index & 1
@@ -251,7 +251,7 @@
             self._pending[work.share][work.job.uid] = work
             work.attempted.add(index)
             if work.job.spec.gang:
-                self.gangs.attempt_ended(work, placement, why)
+                self.gangs.attempt_ended(work, placement, reason)
 
     def running_reported(self, placement: Placement) -> None:
         """Handles a task that is reported as running."""
@@ -278,8 +278,8 @@
         self._dirty = False
         self._backoff_ends_at = FAR_FUTURE
         self._queued_jobs = 0
-        self.budget.begin()
-        self.preemption.begin()
+        self.budget.begin_turn()
+        self.preemption.begin_turn()
         for owned_share in list(self.shares.owned.values()):
             if self.shares.may_command(owned_share.number):
                 self._run_turn(owned_share)
@@ -321,7 +321,7 @@
         """Returns the work that may be started, the work that fails everywhere, and the
         representatives of the machines that may hold unknown tasks.
 
-        The rest of the work gets the reason why it waits.
+        Sets the wait reason of all other work.
         """
         now = self.context.now
         waiting: list[Work] = []
@@ -365,7 +365,7 @@
         unsettled: list[Machine],
     ) -> Turn:
         machines = self.fleet.of_share(owned_share.number)
-        self.scoring.begin(machines.service_cpus)
+        self.scoring.begin_turn(machines.service_cpus)
 
         @cache
         def usable() -> list[Machine]:
@@ -405,10 +405,10 @@
             self.placement.serve_with_preemption(turn, work)
 
     def _probe(self, turn: Turn, work: Work) -> None:
-        """Probes work that fails everywhere, and schedules the next look at it."""
+        """Probes work that fails everywhere, and schedules the next check of it."""
         now = self.context.now
         self.placement.probe(turn, work)
-        # The next look is when the next probe is due, or soon while one runs or found no room.
+        # The next check is when the next probe is due, or soon while one runs or found no room.
         next_at = now + PROBE_RETRY_S if now >= work.not_before or work.zones else work.not_before
         self._backoff_ends_at = min(self._backoff_ends_at, Instant(next_at))
 
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -25,9 +25,9 @@
         self.policy = policy or NoPolicy()
         self._service_cpus = 0.0  # CPUs of services in the share that the current turn serves
 
-    def begin(self, lasting_cpus: float) -> None:
-        """Begins a turn over a share whose services hold `lasting_cpus` CPUs."""
-        self._service_cpus = lasting_cpus
+    def begin_turn(self, service_cpus: float) -> None:
+        """Begins a turn over a share whose services hold `service_cpus` CPUs."""
+        self._service_cpus = service_cpus
 
     def score(self, job: Job, machine: Machine, used: Size | None = None) -> float:
         """Returns the score of the machine for one task of the job.
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -32,7 +32,7 @@
 
 HANDBACK_AFTER_S = 6.0  # for which the home node must have been up, and this node the owner
 HANDBACK_DEADLINE_S = 60.0  # after which silent machines no longer delay the handover
-TAKE_UNOWNED_AFTER_S = 3  # by a node other than the home node
+TAKE_UNOWNED_AFTER_S = 3  # before another node than the home node takes a share without an owner
 TAKEOVER_STAGGER_S = 0.3  # between the attempts of two nodes to take over a share
 
 
@@ -174,7 +174,7 @@
             and self.authority.may_act()
         )
 
-    # --- gaining and losing --------------------------------------------------------------
+    # --- changes of ownership ------------------------------------------------------------
 
     def _changed(self, key: str, value: Any, stamp: Stamp) -> None:
         share = ShareNo(int(key[len(SHARE) :]))
@@ -257,8 +257,8 @@
             return
         member, incarnation = owner
         if member == self.context.me:
-            # The process that wrote this as this member is dead, or it was this process before
-            # it lost its lease: there is no need to wait.
+            # The owner is an earlier process of this member, which has ended, or this process
+            # before it lost its lease: there is no need to wait.
             if incarnation != self.authority.incarnation:
                 self._take(share, [])
             return
@@ -284,20 +284,20 @@
         conditions += [self.store.expect(LIVE + m) for m in others]
         self._take(share, conditions)
 
-    def _takeover_rank(self, share: ShareNo, dead: Member) -> int:
+    def _takeover_rank(self, share: ShareNo, former_owner: Member) -> int:
         """Returns this node's place in the order in which live nodes try to take over the share.
 
-        Nodes that own fewer shares come first, so that the shares of a dead node are spread.
+        Nodes that own fewer shares come first, so that the shares of a failed node are spread.
         """
-        living = [m for m in self.authority.live_members() if m != dead]
-        if not living:
+        live = [m for m in self.authority.live_members() if m != former_owner]
+        if not live:
             return 0
-        load = {m: 0 for m in living}
+        load = {m: 0 for m in live}
         for other in self.all():
             owner = self.live_owner(other)
             if owner in load:
                 load[owner] += 1
-        ranked = sorted(living, key=lambda m: (load[m], m == self.context.home(share), m))
+        ranked = sorted(live, key=lambda m: (load[m], m == self.context.home(share), m))
         return ranked.index(self.context.me) if self.context.me in ranked else 0
 
     def _consider_handback(self, share: ShareNo) -> None:
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -103,7 +103,7 @@
 class Store:
     """The local copy of the state service, its reads and the queue of changes."""
 
-    URGENT, OWNER, USER, BACKGROUND = range(4)
+    URGENT, OWNER, USER, BACKGROUND = range(4)  # urgencies of changes, the most urgent first
 
     def __init__(self, context: Context) -> None:
         self.context = context
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -13,9 +13,9 @@
 from .ids import ShareNo, TaskId
 from .machine import Machine
 from .machines import MAX_LISTED_TASKS, Fleet
-from .order import QueueOrder
 from .placement import count_fitting
 from .preemption import Preemption
+from .queue_order import QueueOrder
 from .quota import Quota
 from .scoring import Scoring
 from .turn import Turn, UnmetDemand
@@ -93,7 +93,7 @@
     def serve_with_preemption(self, turn: Turn, work: Work) -> None:
         """Serves the work for the last time in the turn, and records its unmet demand.
 
-        Lesser work may be preempted for it.
+        Work of lower priority may be preempted for it.
         """
         missing = self.serve(turn, work, turn.machines_with_room, may_preempt=True)
         if missing:
@@ -104,7 +104,7 @@
         """Places pending tasks on the machines; returns how many found no machine.
 
         `may_preempt` is set for the last try of a turn, which covers all machines with room and
-        may preempt lesser work.
+        may preempt work of lower priority.
         """
         if not work.pending:
             return 0
@@ -255,7 +255,7 @@
         )
 
     def _preempt_at_image(self, turn: Turn, work: Work, candidates: list[Machine]) -> int:
-        """Extension: preempts lesser work on machines that hold the image of urgent replicas.
+        """Extension: preempts for urgent replicas on machines that hold their image.
 
         These are replicas of a class whose promised time to start is shorter than their image's
         fetch. Returns for how many tasks room is being made; they wait until it is free.
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -64,7 +64,7 @@
 
 
 class Submit(msgspec.Struct):
-    """A user submits a job. For a faulty submission, `spec` is None and `fault` says why."""
+    """A user submits a job. For a faulty submission, `spec` is None and `fault` states why."""
 
     request: int
     uid: str
@@ -125,7 +125,7 @@
 
 
 class Outcome(msgspec.Struct):
-    """The result of an effect, whose `tag` it carries.
+    """The result of an effect. Its `tag` is that of the effect: the callback that handles it.
 
     Status 0 means no answer: with `sent` false the request was certainly never sent, with `sent`
     true it may have been carried out.
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -16,7 +16,7 @@
 
 
 class UnlocatedTasks:
-    """Determines which tasks may run unknown to this owner, and how much they may take."""
+    """Determines which tasks may run without being located yet, and how much they may take."""
 
     def __init__(
         self, context: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work]
@@ -28,11 +28,11 @@
         # Cancelled jobs whose tasks may still run, and until when; oldest first.
         self._cancelled: dict[JobId, tuple[Job, Instant]] = {}
 
-    def cancelled(self, job: Job) -> None:
+    def note_cancellation(self, job: Job) -> None:
         """Counts the cancelled job's unlocated tasks against its team's limit for a while.
 
-        They may go on where no owner has found them yet. This holds for any share, since this
-        node may own the job's share by then.
+        They may continue to run on unsettled machines. Jobs of all shares are counted, since this
+        node may take over the job's share meanwhile.
         """
         cancel_s = self.context.platform.settings.workers.cancel_s
         self._cancelled[job.uid] = (job, later(self.context.now, cancel_s * (1 + CLOCK_DRIFT)))
@@ -48,7 +48,7 @@
     def unsettled_representatives(self, owned_share: OwnedShare) -> list[Machine]:
         """Returns one unsettled machine of each type, zone and spot kind; none if all is settled.
 
-        Unsettled machines may hold tasks that this owner does not know of.
+        Unsettled machines may hold tasks that are not located yet.
         """
         if owned_share.settled:
             return []
@@ -71,8 +71,8 @@
     def by_team(self, owned_share: OwnedShare, unsettled: list[Machine]) -> dict[Team, Size]:
         """Returns what each team's unlocated tasks may take.
 
-        These are tasks of open jobs, and of jobs cancelled lately, which may not have stopped yet.
-        A team's tasks take no more than the unsettled machines hold together.
+        These are tasks of open jobs, and of recently cancelled jobs, which may not have stopped
+        yet. A team's tasks take no more than the unsettled machines hold together.
         """
         if not unsettled:
             return {}
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -106,23 +106,23 @@
 
     # --- polls ---------------------------------------------------------------------------
 
-    def poll(self, ask: Poll) -> None:
+    def poll(self, event: Poll) -> None:
         """Answers a user's request for the state of a job."""
-        uid = JobId(ask.uid)
+        uid = JobId(event.uid)
         if not UID.match(uid):
-            self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
+            self.context.emit(UserAnswer(event.request, 404, {"error": "no such job"}))
             return
-        if self._answer_final(ask.request, uid):
+        if self._answer_final(event.request, uid):
             return
 
         def then() -> None:
             job = self.jobs.get(uid)
             if job is None:
-                self._answer_from_read(ask.request, 404, {"error": "no such job"})
+                self._answer_from_read(event.request, 404, {"error": "no such job"})
             else:
-                self._answer_job(ask.request, job)
+                self._answer_job(event.request, job)
 
-        self._after_sync(ask.request, then)
+        self._after_sync(event.request, then)
 
     def _answer_job(self, request: int, job: Job) -> None:
         if not self._answer_final(request, job.uid):
@@ -163,31 +163,31 @@
 
     # --- submissions ---------------------------------------------------------------------
 
-    def submit(self, ask: Submit) -> None:
+    def submit(self, event: Submit) -> None:
         """Handles a submission, which may be repeated."""
-        uid = JobId(ask.uid)
-        if uid and self._answer_final(ask.request, uid):
+        uid = JobId(event.uid)
+        if uid and self._answer_final(event.request, uid):
             return
         if not uid:
-            self.context.emit(UserAnswer(ask.request, 400, {"error": ask.fault}))
+            self.context.emit(UserAnswer(event.request, 400, {"error": event.fault}))
         elif self.jobs.get(uid) is not None:
-            self._after_sync(ask.request, lambda: self._answer_known(ask.request, uid))
-        elif ask.spec is None:
+            self._after_sync(event.request, lambda: self._answer_known(event.request, uid))
+        elif event.spec is None:
             # If the id is that of an accepted job, the answer is its state.
-            self._reject_unless_known(ask.request, uid, 400, ask.fault)
+            self._reject_unless_known(event.request, uid, 400, event.fault)
         elif not self.fleet.types:
-            self.refuse(ask.request, 503, RETRY_AFTER_S, "machine types not known yet")
+            self.refuse(event.request, 503, RETRY_AFTER_S, "machine types not known yet")
         else:
-            problem = self._rejection_reason(ask.spec)
-            stored = fit_spec(ask.spec, self.fleet.types, self.context.limits.value_bytes)
+            problem = self._rejection_reason(event.spec)
+            stored = fit_spec(event.spec, self.fleet.types, self.context.limits.value_bytes)
             if problem:
-                self._reject_unless_known(ask.request, uid, 422, problem)
+                self._reject_unless_known(event.request, uid, 422, problem)
             elif stored is None:
                 self._reject_unless_known(
-                    ask.request, uid, 400, "larger than the state service can hold"
+                    event.request, uid, 400, "larger than the state service can hold"
                 )
             else:
-                self._create(ask.request, stored)
+                self._create(event.request, stored)
 
     def _answer_known(self, request: int, uid: JobId) -> None:
         job = self.jobs.get(uid)
@@ -258,13 +258,15 @@
 
     # --- cancellations -------------------------------------------------------------------
 
-    def cancel(self, ask: Cancel) -> None:
+    def cancel(self, event: Cancel) -> None:
         """Handles a cancellation, which may be repeated."""
-        uid = JobId(ask.uid)
+        uid = JobId(event.uid)
         if not UID.match(uid):
-            self.context.emit(UserAnswer(ask.request, 404, {"error": "no such job"}))
-        elif not self._answer_final(ask.request, uid):
-            self._after_sync(ask.request, lambda: self._cancel(ask.request, uid, MAX_CANCEL_TRIES))
+            self.context.emit(UserAnswer(event.request, 404, {"error": "no such job"}))
+        elif not self._answer_final(event.request, uid):
+            self._after_sync(
+                event.request, lambda: self._cancel(event.request, uid, MAX_CANCEL_TRIES)
+            )
 
     def _cancel(self, request: int, uid: JobId, tries: int) -> None:
         job = self.jobs.get(uid)
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -16,8 +16,8 @@
         "attempt",
         "attempted",
         "ending",
-        "failure_counts",
         "fails_everywhere",
+        "failure_counts",
         "flush_retry_at",
         "flushed_at",
         "flushing",
@@ -43,9 +43,9 @@
         self.zones: dict[str, int] = {}  # tasks placed per zone
         self.unstored_done_bits = 0  # bit set of tasks done but not stored
         self.flushing = False  # a write of finished tasks is under way
-        self.flushed_at = LONG_AGO
-        self.flush_retry_at = LONG_AGO
-        self.not_before = LONG_AGO
+        self.flushed_at = LONG_AGO  # when the newest such write was queued
+        self.flush_retry_at = LONG_AGO  # no such write earlier, after one that failed
+        self.not_before = LONG_AGO  # no task is started earlier, after failures or refusals
         self.prioritised_until = LONG_AGO  # served first, not preempted until then
         self.failure_counts: dict[MachineId, int] = {}  # failures per machine
         self.max_time_to_failure_s = 0.0  # longest time from a start to its failure
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -204,7 +204,7 @@
             try:
                 status, body, sent = await call
             except Exception:
-                # The core must not wait for ever, whatever the error: the result is unknown.
+                # The core must not wait forever, whatever the error: the result is unknown.
                 log.exception("internal error")
                 status, body, sent = 0, None, True
             self._handle_event(types.Outcome(tag, status, body, sent, began))
--- a/runcourse/locality/fairness.py
+++ b/runcourse/locality/fairness.py
@@ -1,8 +1,8 @@
 """Fair division of the machines near a data source among the teams that read it.
 
 A team that holds more than its fair part leaves those machines to a team that holds less and waits
-for them, or that runs elsewhere meanwhile. No task is stopped for it, and a team may use the
-machines all the same where no other machine has room. So a busy team cannot starve a quiet one,
+for them, or that runs elsewhere meanwhile. No task is stopped for it, and a team may still use the
+machines where no other machine has room. So a busy team cannot starve a quiet one,
 and a quiet team cannot keep machines idle.
 """
 
--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -1,9 +1,9 @@
-"""Load and slowness of machines, estimated from what the controller knows.
+"""Load and slowness of machines, estimated from placements and the durations of tasks.
 
-PROTOCOL reports no usage. The load of a machine is the committed fraction of its CPUs, plus a
-constant for each image being fetched. Whether a machine is *slow* is decided separately, whatever
-its load: from the durations of tasks finished on it, compared with those of the same class
-elsewhere.
+The workers' protocol reports no usage. The load of a machine is the committed fraction of its
+CPUs, plus a constant for each image being fetched. Whether a machine is *slow* is decided
+separately, whatever its load: from the durations of tasks finished on it, compared with those of
+the same class elsewhere.
 """
 
 from __future__ import annotations
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -63,7 +63,7 @@
     # Placement
 
     def cost_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
-        """Returns the weighted delay in seconds that the machine means for a task."""
+        """Returns the weighted expected delay of a task on the machine, in seconds."""
         return self.settings.weight * self.costs.placement_s(spec, machine, now)
 
     def candidates(self, work: Work, machines: list[Machine]) -> list[Machine]:
@@ -82,7 +82,7 @@
         self.source_fairness.recompute(machines, works, now)
         self.bounds.forget_old_moves(now)
 
-    def finished(self, placement: Placement, ran_s: float) -> None:
+    def record_completion(self, placement: Placement, ran_s: float) -> None:
         """Records that a task completed after running for `ran_s` seconds."""
         if placement.job is not None:
             self.tracker.record_completion(placement.job.spec, placement.machine, ran_s)
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -167,7 +167,7 @@
     def _balances_load(self, source: Machine, target: Machine, target_committed: float) -> bool:
         """Returns whether a move without nearer data relieves a slow machine or evens out loads.
 
-        Otherwise two machines would exchange tasks for ever.
+        Otherwise two machines would exchange tasks forever.
         """
         if self.tracker.slowness(source.id) > NORMAL_SLOWNESS:
             return True
--- a/runcourse/wire/peer_messages.py
+++ b/runcourse/wire/peer_messages.py
@@ -56,7 +56,7 @@
 
 
 class CancellationAck(Struct, frozen=True, tag_field="t", tag="knows"):
-    """Confirms that the sender knows of a cancellation; `owner`: it owns the job's share."""
+    """Confirms that the sender has recorded a cancellation; `owner`: it owns the job's share."""
 
     uid: JobId
     owner: bool
@@ -162,7 +162,7 @@
     to: ShareNo
     need: DemandEntry
     # The machine is for another organisation: the owner stops no service, whatever its rank, and
-    # does not transfer the empty machine; the leader requests it if it is still owed then.
+    # does not transfer the empty machine; the leader requests it if the entitlement still holds.
     entitled: bool = False
 
 
