--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -21,7 +21,7 @@
 Count = Annotated[int, Meta(ge=1)]
 
 BYTES_PER_KB = 1024
-MAX_PORT = 65535
+PORT_LIMIT = 65536  # exclusive
 
 # Division of the file descriptors, see `Quota.sockets`.
 # Listeners, 14 connections to the state service, 4 to the cloud, 8 of operators, and a few files.
@@ -222,7 +222,7 @@
 def parse_address(text: str, where: str) -> tuple[str, int]:
     """Returns host and port; raises `SettingsError`, which names the field `where`."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+    if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
         raise SettingsError(f"{where}: {text!r} is not an address of the form host:port")
     return host, int(port)
 
