--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -18,7 +18,7 @@
 from .ids import LONG_AGO, Instant, JobId, ShareNo, TaskId, later
 from .machine import Machine, Placement
 from .machines import Fleet
-from .policy import Candidate, MoveProposal, PlacementPolicy
+from .placement_policy import Candidate, MoveProposal, PlacementPolicy
 from .quota import Quota
 from .shares import OwnedShare, Shares
 from .store import Store
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -31,7 +31,7 @@
 from .jobs import DONE, JOB, PART, PART_BITS, Jobs
 from .leader.rental import Rental
 from .machines import Fleet
-from .policy import NoPolicy, PlacementPolicy
+from .placement_policy import NoPolicy, PlacementPolicy
 from .quota import Quota
 from .scheduler import Scheduler
 from .shares import OwnedShare, Shares
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -22,7 +22,7 @@
 from .machines import MAX_LISTED_TASKS, Fleet
 from .migrations import Migrations
 from .placement import Size
-from .policy import PlacementPolicy
+from .placement_policy import PlacementPolicy
 from .preemption import Preemption
 from .queue_order import QueueOrder
 from .quota import Quota
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -6,7 +6,7 @@
 from .jobs import Job
 from .machine import Machine
 from .placement import MIN_CPUS, Size, progress_score
-from .policy import NoPolicy, PlacementPolicy
+from .placement_policy import NoPolicy, PlacementPolicy
 from .work import fetch_s
 
 # Fraction of a share's replicas, by CPUs, that may gather on one machine.
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -8,7 +8,7 @@
 from ..core.ids import LONG_AGO, Instant, MachineId, ShareNo, TaskId
 from ..core.jobs import JobSpec
 from ..core.machine import Machine, Placement
-from ..core.policy import Candidate, MoveProposal
+from ..core.placement_policy import Candidate, MoveProposal
 from ..core.shares import OwnedShare
 from ..core.work import Work
 from .costs import Costs
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -8,7 +8,7 @@
 from ..core.ids import COUNTER_BITS, Instant, ShareNo, TaskId, later
 from ..core.machine import Machine, Placement
 from ..core.placement import MIN_CPUS
-from ..core.policy import Candidate, MoveProposal
+from ..core.placement_policy import Candidate, MoveProposal
 from ..core.store import Bucket
 from ..core.work import fetch_s, stop_grace_s
 from .costs import Costs
--- a/runcourse/policy_file.py
+++ b/runcourse/policy_file.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .config import Platform
-from .core.policy import PlacementPolicy
+from .core.placement_policy import PlacementPolicy
 
 
 class PolicyFile:
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -12,7 +12,7 @@
 from runcourse.core.jobs import Job
 from runcourse.core.machine import Machine, Placement
 from runcourse.core.placement import Size
-from runcourse.core.policy import Candidate
+from runcourse.core.placement_policy import Candidate
 from runcourse.core.work import Work
 from runcourse.locality.costs import Costs
 from runcourse.locality.fairness import SourceFairness
