--- a/tests/gang_setup.py
+++ b/tests/gang_setup.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from test_faulty_jobs_and_late_writes import owner_of_job
+from test_failing_jobs_and_late_writes import owner_of_job
 from world import MEMBERS, Worker, World, spec
 
 from runcourse.core.machine import Placement
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from failing_parts import CLUSTER_SIZES
-from test_faulty_jobs_and_late_writes import owner_of_job
+from test_failing_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
 from runcourse.core import types as t
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from test_failures import ready
+from test_failure_regressions import ready
 from world import TYPE, World
 
 from runcourse.core import types as t
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -5,8 +5,8 @@
 
 import pytest
 from failing_parts import CLUSTER_SIZES
-from test_failures import ready
-from test_faulty_jobs_and_late_writes import owner_of_job
+from test_failing_jobs_and_late_writes import owner_of_job
+from test_failure_regressions import ready
 from world import FIVE_MEMBERS, World, spec
 
 from runcourse.core import types as t
--- a/tests/test_late_copies.py
+++ b/tests/test_duplicate_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 from failing_parts import CLUSTER_SIZES, capture_reports, owner_of, resend_report
-from test_failures import ready
+from test_failure_regressions import ready
 from world import LEASE_S, World, spec
 
 from runcourse.core import types as t
--- a/tests/test_faulty_jobs_and_late_writes.py
+++ b/tests/test_failing_jobs_and_late_writes.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 import pytest
-from test_failures import ready
-from test_guards import owner_and_machine
+from test_failure_regressions import ready
+from test_safety_checks import owner_and_machine
 from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
 from runcourse.core import types as t
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -19,7 +19,7 @@
     world_with_gang_in_phase,
     world_with_running_gang,
 )
-from test_faulty_jobs_and_late_writes import owner_of_job
+from test_failing_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, GANG_PEER_S, GANG_WAIT_S, LEASE_S, MEMBERS, spec
 
 from runcourse.core import types as t
--- a/tests/test_many.py
+++ b/tests/test_large_fleets.py
@@ -6,8 +6,8 @@
 import pytest
 from mixed_versions import needs_production_history
 from test_cloud import leader
-from test_failures import ready
-from test_guards import owner_and_machine
+from test_failure_regressions import ready
+from test_safety_checks import owner_and_machine
 from test_sockets import REPORT_PATH, run_with_server
 from world import World, platform, spec
 
--- a/tests/test_locality_parts.py
+++ b/tests/test_locality_parts.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from test_failures import bare_machine
+from test_failure_regressions import bare_machine
 from world import platform, spec
 
 from runcourse.core.ids import Attempt, Instant, MachineId, ShareNo, TaskId, make_attempt
--- a/tests/test_guards.py
+++ b/tests/test_safety_checks.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from test_failures import bare_machine, ready
+from test_failure_regressions import bare_machine, ready
 from world import World, spec
 
 from runcourse.core import types as t
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from test_failures import ready
-from test_guards import owner_and_machine
+from test_failure_regressions import ready
+from test_safety_checks import owner_and_machine
 from world import World, spec
 
 from runcourse.core.ids import Instant, ShareNo
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -22,7 +22,7 @@
     restart_as,
 )
 from test_cancellations import cut_links_between, outage_at_cancellation
-from test_faulty_jobs_and_late_writes import owner_of_job
+from test_failing_jobs_and_late_writes import owner_of_job
 from world import CANCEL_S, LEASE_S, MEMBERS, World, platform, spec
 
 from runcourse.config import Operators
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -9,8 +9,8 @@
 
 import pytest
 import uvloop
-from test_failures import ready
-from test_guards import owner_and_machine
+from test_failure_regressions import ready
+from test_safety_checks import owner_and_machine
 from world import World
 
 from runcourse.config import Quota
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from test_failures import context, ready
+from test_failure_regressions import context, ready
 from world import World, spec
 
 from runcourse.core import types as t
--- a/tests/test_unreached_machines.py
+++ b/tests/test_unreachable_machines.py
@@ -3,7 +3,7 @@
 
 import pytest
 from failing_parts import CLUSTER_SIZES, owner_of, replacement_delay_s
-from test_failures import ready
+from test_failure_regressions import ready
 from world import CANCEL_S, World, spec
 
 from runcourse.core import types as t
