--- a/tests/gang_setup.py
+++ b/tests/gang_setup.py
@@ -13,7 +13,7 @@
 START_UP_S = 4.0
 
 
-def gang(uid: str = UID, tasks: int = 4, **changes: Any) -> Any:
+def gang_spec(uid: str = UID, tasks: int = 4, **changes: Any) -> Any:
     values: dict[str, Any] = {
         "gang": True,
         "together": True,
@@ -63,7 +63,7 @@
     members: tuple[str, ...] = MEMBERS, machines: int = 12, **changes: Any
 ) -> World:
     world = started_world(members, machines)
-    world.submit(gang(**changes))
+    world.submit(gang_spec(**changes))
     world.until(lambda: UID in world.running_gangs(), 20)
     return world
 
@@ -76,7 +76,7 @@
     )  # type: ignore[arg-type]
 
 
-def after(run_s: float) -> tuple[World, Node, list[Placement]]:
+def world_after_gang_ran(run_s: float) -> tuple[World, Node, list[Placement]]:
     """Returns a cluster whose gang has run for `run_s`, the gang's owner and its placements."""
     world = world_with_running_gang(estimate_s=30.0)
     world.run(run_s)
@@ -89,7 +89,7 @@
     world = started_world(members)
     if phase == "fetching":
         world.fetch_s = 4.0
-    world.submit(gang(estimate_s=25.0, save_s=1.5))
+    world.submit(gang_spec(estimate_s=25.0, save_s=1.5))
     if phase == "waiting":
         world._step_gangs = lambda: None  # type: ignore[method-assign]
         world.until(lambda: len(machines_of(world)) == 4, 10)
--- a/tests/locality_world.py
+++ b/tests/locality_world.py
@@ -33,13 +33,16 @@
 
 
 def world_with_locality(
-    locality: LocalitySettings, members: tuple[str, ...] = MEMBERS, each: int = 2, **changes: Any
+    locality: LocalitySettings,
+    members: tuple[str, ...] = MEMBERS,
+    machines_per_share_and_zone: int = 2,
+    **changes: Any,
 ) -> World:
-    """Returns a cluster with `each` machines per share and zone; idle machines are kept."""
+    """Returns a cluster with machines in each share and zone; idle machines are kept."""
     zones = "a" * len(members) + "b" * len(members)
     values: dict[str, Any] = {"cpus_max": 100.0, "operators": Operators(idle_return=1e6)}
     world = World(
-        machines=each * len(zones),
+        machines=machines_per_share_and_zone * len(zones),
         members=members,
         locality=locality,
         machine_zones=zones,
@@ -105,7 +108,7 @@
     return not any(m.reservations for n in nodes(world) for m in n.fleet.machines.values())
 
 
-def moving(members: tuple[str, ...] = MEMBERS, **changes: Any) -> World:
+def world_with_move(members: tuple[str, ...] = MEMBERS, **changes: Any) -> World:
     """Returns a cluster in which a move has just begun: its stop is sent, its room reserved."""
     world = world_with_locality(settings("a"), members)
     submit_array(world, tasks=1, **changes)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -55,11 +55,11 @@
             return reply(503, {"error": "trouble"})
         self.expire()
         path, _, query = target.partition("?")
-        asked = {k: v[0] for k, v in parse_qs(query).items()}
+        request = {k: v[0] for k, v in parse_qs(query).items()}
         if path == "/keys":
-            return self.page(asked)
+            return self.page(request)
         if path == "/follow":
-            first = bisect.bisect_right(self.log, int(asked["since"]), key=lambda c: c.stamp)
+            first = bisect.bisect_right(self.log, int(request["since"]), key=lambda c: c.stamp)
             return reply(200, {"epoch": self.epoch, "events": list(map(event, self.log[first:]))})
         if path == "/commit":
             return self.answer_commit(decode_map(body))
@@ -69,10 +69,10 @@
             return reply(200 if self.extend(int(path.split("/")[2])) else 404, {})
         return reply(404, {})
 
-    def page(self, asked: dict[str, str]) -> Reply:
-        most = int(asked.get("most", 1000))
+    def page(self, request: dict[str, str]) -> Reply:
+        most = int(request.get("most", 1000))
         keys = sorted(
-            k for k in self.data if k.startswith(asked["under"]) and k > asked.get("since", "")
+            k for k in self.data if k.startswith(request["under"]) and k > request.get("since", "")
         )
         pairs = [
             {"key": k, "value": self.data[k].value, "stamp": self.data[k].stamp}
@@ -220,17 +220,17 @@
                 if w.tick
             ]
             return reply(200, {"hosts": hosts, "has_next": False})
-        asked = decode_map(body)
+        request = decode_map(body)
         if path == "/machines":
-            if asked["hire"] not in self.hires:
-                ids = [f"i-{next(self.names):06d}" for _ in range(min(asked["number"], 2))]
+            if request["hire"] not in self.hires:
+                ids = [f"i-{next(self.names):06d}" for _ in range(min(request["number"], 2))]
                 for id in ids:
                     self.workers[id] = Worker(
-                        self, id, asked["hull"], asked["yard"], asked["lendable"]
+                        self, id, request["hull"], request["yard"], request["lendable"]
                     )
-                self.hires[asked["hire"]] = ids
-            return reply(200, {"hosts": self.hires[asked["hire"]]})
-        for id in asked["hosts"]:
+                self.hires[request["hire"]] = ids
+            return reply(200, {"hosts": self.hires[request["hire"]]})
+        for id in request["hosts"]:
             worker = self.workers.pop(id, None)
             if worker is not None:
                 worker.task.cancel()
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from world import TYPE, World
 
 from runcourse.core import types as t
@@ -30,7 +30,7 @@
 
 
 def test_outdated_cloud_list_marks_no_machine_as_gone() -> None:
-    world = ready(machines=3)
+    world = started_world(machines=3)
     node = leader(world)
     lag_s = node.context.platform.settings.cloud.list_lag_s
     listed_at = node.context.now
@@ -66,7 +66,7 @@
 
 def test_boot_is_overdue_later_if_recent_boots_were_slow() -> None:
     """Tasks do not wait for an overdue machine; if all boot slowly, none is hired twice."""
-    rental = leader(ready(machines=1)).rental
+    rental = leader(started_world(machines=1)).rental
     type_ = slow_booting_type()
     overdue_s, give_up_s = (
         rental.boot_times.overdue_after_s(type_),
@@ -86,7 +86,7 @@
 
 
 def test_machine_of_a_late_hire_is_returned_if_there_is_no_demand() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     late = world.boot("b", False)
     world.until(lambda: late in leader(world).fleet.records, 10)
     world.run(90.0)
@@ -94,7 +94,7 @@
 
 
 def test_pause_after_a_refused_hire_grows_up_to_a_limit() -> None:
-    node = leader(ready(machines=1))
+    node = leader(started_world(machines=1))
     pauses_s = []
     for _ in range(6):
         node.rental.hiring.note_refusal(("m4", "a", False))
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -6,7 +6,7 @@
 import pytest
 from failing_parts import CLUSTER_SIZES
 from test_failing_jobs_and_late_writes import owner_of_job
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from world import FIVE_MEMBERS, World, spec
 
 from runcourse.core import types as t
@@ -206,7 +206,7 @@
 
 
 def test_concurrent_polls_share_their_reads() -> None:
-    world = ready(machines=3)
+    world = started_world(machines=3)
     world.submit(spec("j-000500", tasks=2, estimate_s=500.0))
     node = world.nodes["n0"]
     assert node is not None
@@ -223,7 +223,7 @@
 
 
 def test_small_job_costs_two_writes() -> None:
-    world = ready(machines=3)
+    world = started_world(machines=3)
     world.run(2.0)
     before = sum(1 for key, _, _ in world.state.log if key.startswith(("rc/job/", "rc/done/")))
     for n in range(10):
@@ -236,7 +236,7 @@
 def test_lowest_rank_job_begins_on_a_full_fleet() -> None:
     """Even the largest job of the lowest rank begins within four minutes, behind a steady stream of
     work of a higher rank."""
-    world = ready(machines=3, cpus_max=100.0)
+    world = started_world(machines=3, cpus_max=100.0)
     world.submit(
         spec("j-000700", tasks=200, team="team-3", rank=3, cpus=0.25, memory=0.5, estimate_s=4.0)
     )
--- a/tests/test_duplicate_messages.py
+++ b/tests/test_duplicate_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 from failing_parts import CLUSTER_SIZES, capture_reports, owner_of, resend_report
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from world import LEASE_S, World, spec
 
 from runcourse.core import types as t
@@ -60,7 +60,7 @@
 
 
 def test_duplicate_report_does_not_restore_a_returned_machine() -> None:
-    world = ready(machines=3)
+    world = started_world(machines=3)
     reports = capture_reports(world)
     world.run(2.0)
     member, report = reports[-1]
@@ -87,7 +87,7 @@
 
 
 def test_unknown_machine_is_adopted_only_if_it_answers_or_is_listed() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     unknown_report = t.Report("i-000900", "i-000900:1", "m4", "a", False, 1, 5, 0, None, ())  # type: ignore[arg-type]
     for m in world.members:
         resend_report(world, m, unknown_report)
@@ -98,7 +98,7 @@
 def test_duplicate_report_of_a_former_session_ends_no_task() -> None:
     """After a restart of the worker, a duplicate report with its old, higher session number must
     not end its new tasks."""
-    world = ready(machines=1)
+    world = started_world(machines=1)
     id = next(iter(world.workers))
     worker = world.workers[id]
     worker.session = 5
@@ -119,7 +119,7 @@
 
 
 def test_duplicate_command_for_a_forgotten_attempt_starts_nothing() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     commands: list[t.Command] = []
     to_worker = world._to_worker
 
@@ -142,7 +142,7 @@
 
 def test_report_overtaken_by_a_direct_answer_is_answered() -> None:
     """The worker waits for an answer; after a refusal it would not try again for a second."""
-    world = ready(machines=1)
+    world = started_world(machines=1)
     id = next(iter(world.workers))
     node, machine = owner_of(world, id)
     worker = world.workers[id]
@@ -158,7 +158,7 @@
 
 
 def test_worker_restarted_without_memory_is_used_again_at_once() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     worker = next(iter(world.workers.values()))
     world.submit(spec("j-000700", service=True, tasks=1))
     world.until(lambda: len(world.on_machines()) == 1, 10)
@@ -196,7 +196,7 @@
 
 
 def test_duplicate_commit_of_a_former_process_does_not_replace_the_live_key() -> None:
-    world = ready()
+    world = started_world()
     recorded_commits: list[t.Commit] = []
     node = world.nodes["n0"]
     assert node is not None
@@ -228,7 +228,7 @@
 
 
 def test_silence_limit_lies_between_a_lost_report_and_the_lease() -> None:
-    world = ready()
+    world = started_world()
     fleet: Fleet = world.nodes["n0"].fleet  # type: ignore[union-attr]
     assert 2.5 <= fleet.silence_limit_s() < LEASE_S
     assert fleet.context.now >= Instant(0.0)
@@ -236,8 +236,8 @@
 
 def test_new_session_gets_a_whole_lease_regardless_of_earlier_answers() -> None:
     """A command started a task in a session that had no answer yet. Since the last answer to the
-    previous session was a lease ago, the task was taken for ended, and it ran twice."""
-    world = ready(machines=1)
+    former session was a lease ago, the task was taken for ended, and it ran twice."""
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     known_when_sent = machine.known_state
     machine.last_answer_at = Instant(node.context.now - node.context.lease_s + 0.1)
@@ -262,7 +262,7 @@
 
 
 def test_orders_sent_in_an_answer_are_expected_in_the_next_report() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     job = Job(spec("j-000800"), 1)  # type: ignore[arg-type]
@@ -290,7 +290,7 @@
 def test_duplicate_report_right_after_a_worker_restart_is_rejected() -> None:
     """Until the restarted worker has reported a token of this owner, only the raised token tells
     its reports from those before the restart."""
-    world = ready(machines=1)
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     old_report = t.Report(
         machine.id,
@@ -314,7 +314,7 @@
 
 def test_new_session_makes_the_machine_suspected() -> None:
     """The worker's lease ended although its reports arrived, so the answers did not reach it."""
-    world = ready(machines=1)
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     assert not machine.suspected
@@ -336,7 +336,7 @@
 
 
 def test_start_order_that_was_never_sent_is_undone_at_once() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     job = Job(spec("j-000820"), 1)  # type: ignore[arg-type]
--- a/tests/test_entitlements_off.py
+++ b/tests/test_entitlements_off.py
@@ -1,4 +1,4 @@
-"""Tests that without an entitlements file the service decides as the previous version does."""
+"""Tests that without an entitlements file the service decides as the former version does."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 
 @needs_pre_division_history
 @pytest.mark.parametrize("seed", range(12))
-def test_decisions_and_random_draws_equal_those_of_the_previous_version(seed: int) -> None:
-    present, previous = run_random_scenario(seed, False), run_random_scenario(seed, True)
+def test_decisions_and_random_draws_equal_those_of_the_former_version(seed: int) -> None:
+    present, former = run_random_scenario(seed, False), run_random_scenario(seed, True)
     for key in present:
-        assert present[key] == previous[key], key
+        assert present[key] == former[key], key
     assert len(present["starts"]) > STEPS / 5
--- a/tests/test_failing_jobs_and_late_writes.py
+++ b/tests/test_failing_jobs_and_late_writes.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from test_safety_checks import owner_and_machine
 from world import CANCEL_S, FIVE_MEMBERS, MEMBERS, World, spec
 
@@ -183,7 +183,7 @@
 
 
 def test_many_short_tasks_do_not_cause_one_hire_each() -> None:
-    node = owner_and_machine(ready(machines=6))[0]
+    node = owner_and_machine(started_world(machines=6))[0]
     needing_machines = node.scheduler.tasks_needing_machines
     short = Job(spec("j-000500", tasks=25_000, estimate_s=4.0), Stamp(1))
     assert needing_machines(short, 25_000) == 1667 and needing_machines(short, 1) == 1
@@ -222,7 +222,7 @@
 
 
 def test_flood_from_one_team_leaves_room_for_submissions_of_others() -> None:
-    node = owner_and_machine(ready())[0]
+    node = owner_and_machine(started_world())[0]
     refused_of_flood = refused_of_others = 0
     for n in range(400):
         team, request = ("team-1", 10_000) if n % 20 == 19 else ("team-0", 0)
--- a/tests/test_failure_regressions.py
+++ b/tests/test_failure_regressions.py
@@ -15,7 +15,7 @@
 from runcourse.core.work import Work, fetch_s
 
 
-def ready(**settings: Any) -> World:
+def started_world(**settings: Any) -> World:
     """Returns a world that has run for 4 s, after its nodes have started."""
     world = World(**settings)
     world.run(4.0)
@@ -35,7 +35,7 @@
     return machine
 
 
-def context() -> Context:
+def new_context() -> Context:
     import random
 
     from runcourse.config import Operators
@@ -54,7 +54,7 @@
 def test_transferred_machines_are_not_returned_as_late_boots() -> None:
     """Transferred machines were returned at once, since their new owner had not received a report
     from them."""
-    world = ready(machines=6)
+    world = started_world(machines=6)
     before = set(world.workers)
     world.run(30.0)  # longer than any boot takes
     for n in range(4):
@@ -66,7 +66,7 @@
 
 
 def test_restarted_owner_keeps_machines_that_have_not_reported_yet() -> None:
-    world = ready(machines=5)
+    world = started_world(machines=5)
     for n in range(3):
         world.submit(spec(f"j-00001{n}", service=True, tasks=1, team=f"team-{n}"))
     world.run(25.0)
@@ -79,7 +79,7 @@
 
 
 def test_guarantee_preempts_no_higher_rank_and_no_replica_for_an_array() -> None:
-    quota = Quota(context())
+    quota = Quota(new_context())
     array = Job(spec("j-000001", rank=1, team="team-1"), 1)  # type: ignore[arg-type]
     replica = Job(spec("j-000002", rank=0, service=True), 1)  # type: ignore[arg-type]
     equal_rank_replica = Job(spec("j-000003", rank=1, service=True), 1)  # type: ignore[arg-type]
@@ -98,7 +98,7 @@
 
 
 def test_borrowed_room_is_reclaimed_but_no_team_falls_below_its_guarantee() -> None:
-    quota = Quota(context())  # a guarantee of 4 CPUs each
+    quota = Quota(new_context())  # a guarantee of 4 CPUs each
     waiting = Job(spec("j-000001", rank=1, team="team-1"), 1)  # type: ignore[arg-type]
     borrowing = Job(spec("j-000002", rank=1, team="team-0", tasks=3), 1)  # type: ignore[arg-type]
     machine = bare_machine()
@@ -123,7 +123,7 @@
 
 
 def test_two_teams_do_not_preempt_each_other_in_turn() -> None:
-    world = ready(machines=2, cpus_max=100.0)
+    world = started_world(machines=2, cpus_max=100.0)
     for n in range(2):
         world.submit(spec(f"j-00002{n}", tasks=6, team=f"team-{n}", estimate_s=30.0))
     world.run(25.0)
@@ -151,7 +151,7 @@
 def test_job_certain_to_miss_its_deadline_goes_last_unless_begun() -> None:
     from runcourse.config import Objective
 
-    world = ready()
+    world = started_world()
     node = world.nodes["n0"]
     assert node is not None
     scheduler = node.scheduler
@@ -175,7 +175,7 @@
 
 def test_reports_that_cannot_reach_the_owner_are_relayed() -> None:
     """In a network partition a worker lost its lease while it tried twice to reach its owner."""
-    world = ready(machines=3, lease_s=12.0)
+    world = started_world(machines=3, lease_s=12.0)
     for n in range(3):
         world.submit(spec(f"j-00003{n}", service=True, tasks=1, team=f"team-{n}"))
     world.until(lambda: len(world.on_machines()) == 3, 10)
@@ -216,7 +216,7 @@
 
 def test_attempt_is_not_forgotten_while_an_order_has_an_unknown_outcome() -> None:
     """After `clear` (a forget order), a worker runs a repeated start order again."""
-    world = ready()
+    world = started_world()
     world.submit(spec("j-000060", tasks=1, estimate_s=0.5))
     world.until(lambda: world.poll("j-000060") == "done", 10)
     node = next(n for n in world.nodes.values() if n is not None and n.fleet.machines)
@@ -239,7 +239,7 @@
 
 
 def test_unconfirmed_start_is_fenced_when_it_is_stopped() -> None:
-    world = ready()
+    world = started_world()
     node = next(n for n in world.nodes.values() if n is not None and n.fleet.machines)
     machine = next(iter(node.fleet.machines.values()))
     world.specs["j-000070"] = spec("j-000070")
@@ -255,7 +255,7 @@
 
 
 def test_interruption_notice_moves_tasks_that_will_not_end_in_time() -> None:
-    world = ready(machines=9)
+    world = started_world(machines=9)
     world.submit(spec("j-000080", tasks=1, estimate_s=30.0))
     world.submit(spec("j-000081", tasks=1, estimate_s=2.5))
     world.until(lambda: len(world.on_machines()) == 2, 10)
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -7,8 +7,7 @@
 from failing_parts import CLUSTER_SIZES
 from gang_setup import (
     UID,
-    after,
-    gang,
+    gang_spec,
     machines_of,
     node_of,
     node_of_team,
@@ -16,6 +15,7 @@
     started_world,
     task_stages,
     work_of,
+    world_after_gang_ran,
     world_with_gang_in_phase,
     world_with_running_gang,
 )
@@ -31,7 +31,7 @@
 ) -> None:
     world = started_world(members)
     world.fetch_s = 3.0
-    world.submit(gang(tasks=3, spread=False))
+    world.submit(gang_spec(tasks=3, spread=False))
     world.until(
         lambda: any(task.job == UID for w in world.workers.values() for task, _ in w.tasks), 5
     )
@@ -48,7 +48,7 @@
 
 def test_incomplete_gang_backs_off_and_logs_the_reason() -> None:
     world = started_world(machines=12)
-    world.submit(gang(tasks=2))
+    world.submit(gang_spec(tasks=2))
     world.until(lambda: bool(machines_of(world)), 5)
     work = work_of(world)
     node = node_of(world)
@@ -73,7 +73,7 @@
     tasks that gave up are started again."""
     world = started_world(machines=12)
     world.fetch_s = GANG_WAIT_S + 4.0
-    world.submit(gang(tasks=4))
+    world.submit(gang_spec(tasks=4))
     world.run(1.0)
     first = {w.id for w in world.workers.values() if any(k[0].job == UID for k in w.tasks)}
     assert len(first) == 2
@@ -154,7 +154,7 @@
 
 
 def test_orderly_stop_reaches_all_tasks_in_time_and_saves_progress() -> None:
-    world, node, members = after(6.5)
+    world, node, members = world_after_gang_ran(6.5)
     node.scheduler.gangs.stop(members[0])
     world.run(0.5)
     assert task_stages(world) == {"saving"}
@@ -165,7 +165,7 @@
 
 
 def test_first_task_to_finish_an_orderly_stop_does_not_shorten_the_others_saving() -> None:
-    world, node, members = after(2.5)
+    world, node, members = world_after_gang_ran(2.5)
     node.scheduler.gangs.stop(members[0])
     first = members[0]
     node.fleet.placements.update(
@@ -182,7 +182,7 @@
 
 
 def test_orderly_stop_becomes_a_plain_stop_if_a_machine_is_unreachable() -> None:
-    world, node, members = after(6.5)
+    world, node, members = world_after_gang_ran(6.5)
     node.fleet.commands.suspect(members[0].machine)
     node.scheduler.gangs.stop(members[0])
     assert {p.grace_s for p in node.fleet.placements.of_job(UID)} == {0.0}  # type: ignore[arg-type]
@@ -195,7 +195,7 @@
     """An array task would stop many tasks to start one, again and again. Array tasks use other
     free room instead."""
     world = started_world(machines=3)
-    world.submit(gang(tasks=2, rank=2, estimate_s=60.0, together=False))
+    world.submit(gang_spec(tasks=2, rank=2, estimate_s=60.0, together=False))
     world.until(lambda: UID in world.running_gangs(), 20)
     tasks_that_fit = 6  # fills all free room, in every share
     world.submit(spec("j-000020", tasks=tasks_that_fit, team="team-1", rank=1, estimate_s=8.0))
@@ -219,12 +219,12 @@
     world = started_world(machines=3)
     world.submit(spec("j-000021", tasks=6, team="team-1", rank=3, estimate_s=60.0))
     world.until(lambda: len(world.on_machines()) == 6, 15)
-    world.submit(gang(tasks=8, rank=1, together=False))
+    world.submit(gang_spec(tasks=8, rank=1, together=False))
     world.run(5.0)
     assert len(machines_of(world, "j-000021")) == 6, (
         "the gang would not fit even if they all stopped"
     )
-    world.submit(gang("j-000022", tasks=4, rank=1, together=False))
+    world.submit(gang_spec("j-000022", tasks=4, rank=1, together=False))
     world.until(lambda: "j-000022" in world.running_gangs(), 10)
     assert len(machines_of(world, "j-000021")) == 2 and not world.violations
 
@@ -233,7 +233,7 @@
     world = started_world(machines=12)
     for worker in world.workers.values():
         worker.spot = False
-    world.submit(gang(estimate_s=40.0, spot=True))
+    world.submit(gang_spec(estimate_s=40.0, spot=True))
     world.until(lambda: UID in world.running_gangs(), 20)
     world.run(6.5)
     machines_of(world)[0].notice_s = GANG_PEER_S + 1.5
@@ -319,7 +319,7 @@
 def test_failing_gang_is_retried_as_a_whole_with_increasing_backoff() -> None:
     world = started_world()
     world.failing_jobs.add(UID)
-    world.submit(gang(tasks=3))
+    world.submit(gang_spec(tasks=3))
     world.run(30.0)
     attempts = run_count(world)
     assert attempts >= 2
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -2,7 +2,7 @@
 
 from combined_failures import submit
 from failing_parts import CLUSTER_SIZES
-from gang_setup import UID, gang, machines_of, node_of_team, run_count, started_world, work_of
+from gang_setup import UID, gang_spec, machines_of, node_of_team, run_count, started_world, work_of
 from world import World, spec
 
 from runcourse.core.leader.demand import LoadReport, share_load
@@ -12,7 +12,7 @@
 @CLUSTER_SIZES
 def test_gang_runs_as_a_whole_in_one_zone_under_one_attempt(members: tuple[str, ...]) -> None:
     world = started_world(members)
-    world.submit(gang())
+    world.submit(gang_spec())
     world.until(lambda: UID in world.running_gangs(), 5)
     assert len({w.zone for w in machines_of(world)}) == 1 and len(machines_of(world)) == 4
     assert len({attempt for _, _, attempt in world.gang_runs}) == 1
@@ -22,7 +22,7 @@
 
 def test_gang_without_room_for_all_starts_no_task_and_reserves_no_room() -> None:
     world = started_world(machines=3)  # one machine per zone, with room for two tasks
-    world.submit(gang())
+    world.submit(gang_spec())
     world.run(3.0)
     assert not world.starts
     assert work_of(world).wait_reason == "no room for the whole gang"
@@ -34,7 +34,7 @@
 
 def test_gang_is_placed_over_several_zones_if_the_job_allows_it() -> None:
     world = started_world(machines=12)
-    world.submit(gang(tasks=9, together=False, spread=True))
+    world.submit(gang_spec(tasks=9, together=False, spread=True))
     world.until(lambda: UID in world.running_gangs(), 40)
     zones = [w.zone for w in machines_of(world)]
     assert max(zones.count(z) for z in zones) <= 5 and not world.violations
@@ -47,28 +47,28 @@
         world.boot("a", False)
     world.capacity = 4
     world.run(6.0)
-    world.submit(gang(tasks=4, together=False, spread=True))
+    world.submit(gang_spec(tasks=4, together=False, spread=True))
     world.run(8.0)
     assert not world.starts and work_of(world).wait_reason == "no room for the whole gang"
 
 
 def test_gang_prefers_the_zone_where_its_last_image_is_ready_soonest() -> None:
     world = started_world(machines=15)
-    world.submit(gang("j-000010", tasks=2, image="other"))
+    world.submit(gang_spec("j-000010", tasks=2, image="other"))
     world.until(lambda: world.poll("j-000010") == "done", 30)
     node = node_of_team(world)
     zones_with_image = {m.record.zone for m in node.fleet.machines.values() if "other" in m.images}
-    world.submit(gang(tasks=2, image="other"))
+    world.submit(gang_spec(tasks=2, image="other"))
     world.until(lambda: UID in world.running_gangs(), 10)
     assert {w.zone for w in machines_of(world)} == zones_with_image and not world.violations
 
 
 def test_whole_gang_stays_within_its_team_limit() -> None:
     world = started_world(cpus_max=8.0)
-    assert world.submit(gang("j-000003", tasks=5)) == 422
+    assert world.submit(gang_spec("j-000003", tasks=5)) == 422
     world.submit(spec("j-000004", tasks=1, team="team-1", estimate_s=5.0))
     world.run(2.0)
-    world.submit(gang(tasks=4))
+    world.submit(gang_spec(tasks=4))
     world.run(2.0)
     assert not machines_of(world) and work_of(world).wait_reason == "team limit"
     world.until(lambda: UID in world.running_gangs(), 15)
@@ -78,7 +78,7 @@
 def test_machines_for_a_gang_are_hired_in_one_zone() -> None:
     world = started_world(machines=3)
     world.capacity = 12
-    world.submit(gang())
+    world.submit(gang_spec())
     world.until(lambda: UID in world.running_gangs(), 30)
     assert len(world.workers) <= 8, "machines are not hired in each zone"
     assert not world.violations
@@ -87,7 +87,7 @@
 def test_machines_booting_in_several_zones_do_not_cover_a_single_zone_gang() -> None:
     world = started_world(machines=3)
     node = node_of_team(world)
-    world.submit(gang(tasks=6))
+    world.submit(gang_spec(tasks=6))
     world.run(1.0)
     share = node.shares.of_team("team-1")  # type: ignore[arg-type]
     load = share_load(node.context, share, (), node.fleet, node.scheduler)
@@ -127,7 +127,7 @@
         "no share owns both machines of a zone"
     )
     assert any(share in shares for shares in by_zone.values())
-    world.submit(gang(tasks=4))
+    world.submit(gang_spec(tasks=4))
     world.until(lambda: UID in world.running_gangs(), 10)
     assert len(world.workers) == 6 and not world.violations
 
@@ -137,8 +137,8 @@
     world = started_world(machines=6)
     world.submit(spec("j-000099", tasks=12, team="team-1", estimate_s=4.0))
     world.run(2.0)
-    world.submit(gang(rank=1, tasks=4))
-    world.submit(gang("j-000005", rank=1, tasks=4))
+    world.submit(gang_spec(rank=1, tasks=4))
+    world.submit(gang_spec("j-000005", rank=1, tasks=4))
     started: set[str] = set()
     for n in range(60):
         submit(world, spec(f"j-0001{n:02d}", tasks=4, team="team-1", estimate_s=3.0), "n0")
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -6,7 +6,7 @@
 import pytest
 from mixed_versions import needs_production_history
 from test_cloud import leader
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from test_safety_checks import owner_and_machine
 from test_sockets import REPORT_PATH, run_with_server
 from world import World, platform, spec
@@ -64,7 +64,7 @@
 def test_no_start_with_an_attempt_number_that_another_owner_may_use() -> None:
     """A counter overflow yields the number of a later epoch. As long as the store has not reached
     that revision, the next owner of the share may use the same number."""
-    node, machine = owner_and_machine(ready())
+    node, machine = owner_and_machine(started_world())
     owned_share = machine.share
     owned_share._attempts = (int(node.store.applied - owned_share.epoch) + 1 << COUNTER_BITS) - 1
     job = Job(spec("j-000001", tasks=1), Stamp(owned_share.epoch + 1))
@@ -122,7 +122,7 @@
 
 
 def test_owners_report_machines_to_the_leader_in_pages() -> None:
-    node = leader(ready(machines=9))
+    node = leader(started_world(machines=9))
     share = next(iter(node.shares.owned))
     machines = node.fleet.of_share(share)
     pages = LoadPages(node.fleet, share)
@@ -139,11 +139,13 @@
 
 
 @needs_production_history
-def test_leader_of_previous_version_receives_all_machines_in_one_message() -> None:
+def test_leader_of_former_version_receives_all_machines_in_one_message() -> None:
     world = World(machines=9, on_production=True)
     world.run(5.0)
-    previous_leader = next(m for m, n in world.nodes.items() if n and n.rental.leadership.leading)
-    upgraded = next(m for m in world.members if m != previous_leader)
+    leader_of_former_version = next(
+        m for m, n in world.nodes.items() if n and n.rental.leadership.leading
+    )
+    upgraded = next(m for m in world.members if m != leader_of_former_version)
     world.crash(upgraded)
     world.production_members.discard(upgraded)
     world.start(upgraded)
@@ -154,7 +156,7 @@
     node.context.effects.clear()
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 1)
-        assert not node.versions.reads(Member(previous_leader), PAGED_LOADS_VERSION)
+        assert not node.versions.reads(Member(leader_of_former_version), PAGED_LOADS_VERSION)
         node.rental._report_loads()
     sent = [e.message for e in node.context.effects if isinstance(e, t.SendToPeer)]
     (share_load,) = [m for m in sent if isinstance(m, ShareLoad)]
@@ -167,7 +169,7 @@
 def test_recording_a_fleet_leaves_write_capacity_for_users() -> None:
     """The state service takes most of a minute to write 4,000 records, and a submission was queued
     behind all of them."""
-    node = leader(ready(machines=1))
+    node = leader(started_world(machines=1))
     adoption, queued = node.rental.adoption, node.store._queued
     found = [
         FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(4000)
@@ -181,7 +183,7 @@
 
 
 def test_conflict_on_one_machine_record_does_not_block_the_rest_of_its_batch() -> None:
-    node = leader(ready(machines=1))
+    node = leader(started_world(machines=1))
     found = [FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(3)]
     node.context.effects.clear()
     node.store._write_budget.level = 1e9
@@ -199,7 +201,7 @@
 
 
 def test_returning_a_fleet_leaves_write_capacity_for_users_and_machines_for_work() -> None:
-    world = ready(machines=60)
+    world = started_world(machines=60)
     node = owner_and_machine(world)[0]
     machines = list(node.fleet.machines.values())
     writes = node.store._write_budget
@@ -216,7 +218,7 @@
 def test_records_of_returned_machines_queue_behind_users_and_are_released_once() -> None:
     """Guards against a write queue filled by returns: the leader refused 20 of 22 submissions while
     848 machines were returned."""
-    world = ready(machines=60)
+    world = started_world(machines=60)
     node = leader(world)
     inventory, store = node.rental.inventory, node.store
     ids = list(node.fleet.records)[:50]
@@ -242,7 +244,7 @@
 
 
 def test_deletion_of_returned_machine_records_keeps_up_with_returns() -> None:
-    node = leader(ready(machines=1))
+    node = leader(started_world(machines=1))
     inventory, size = node.rental.inventory, node.context.limits.txn_ops
     inventory.largest_fleet = 0
     for n in range(1000 + 500):
@@ -263,7 +265,7 @@
 
 def test_unstored_finishes_are_processed_only_when_due() -> None:
     """Guards against a scan of every job with a finished task on each input."""
-    node, machine = owner_and_machine(ready())
+    node, machine = owner_and_machine(started_world())
     finishes, share = node.scheduler.finishes, machine.share.number
     stored: list[JobId] = []
     finishes.store_finished = lambda work, complete: stored.append(work.job.uid)  # type: ignore[method-assign]
@@ -288,7 +290,7 @@
 def test_finishes_of_many_jobs_use_at_most_half_the_write_rate() -> None:
     """Guards against hundreds of arrays that each store a change per second, which is more than the
     state service takes."""
-    node, machine = owner_and_machine(ready())
+    node, machine = owner_and_machine(started_world())
     finishes, now = node.scheduler.finishes, node.context.now
     node.store._write_budget.rate = 20.0
     assert finishes._gap_s() == FLUSH_GAP_S
@@ -311,7 +313,7 @@
     """With hundreds of draining machines, each tick searched every machine for a place for each of
     them, and a controller of 2,000 machines did nothing else. Found in a measurement with 4,000
     machines."""
-    node, _ = owner_and_machine(ready(machines=12))
+    node, _ = owner_and_machine(started_world(machines=12))
     draining, processed = node.scheduler.draining, []
     draining._relocate_replicas = lambda machine: processed.append(machine.id)  # type: ignore[method-assign]
     machines = list(node.fleet.machines.values())[:3]
@@ -357,7 +359,7 @@
 
 @needs_production_history
 def test_rolling_upgrade_with_paged_load_reports() -> None:
-    """Leaders of the previous version receive every machine in one message. Replicas keep running
+    """Leaders of the former version receive every machine in one message. Replicas keep running
     during the upgrade, and empty machines are returned."""
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 2)
@@ -388,7 +390,7 @@
 
 
 def test_long_machine_list_leaves_most_of_the_cloud_rate_to_hires() -> None:
-    node = leader(ready(machines=1))
+    node = leader(started_world(machines=1))
     inventory, rps = node.rental.inventory, node.context.platform.settings.cloud.rps
     assert inventory._list_every_s() == 3.0
     inventory._listed_now = {MachineId(f"i-{n:06d}") for n in range(100 * LIST_PAGE)}
@@ -398,7 +400,7 @@
 def test_machine_missing_from_the_list_is_kept_until_a_newer_owner_report() -> None:
     """Owners report their machines page by page, so a report older than the list does not prove
     that a machine is gone."""
-    node = leader(ready(machines=3))
+    node = leader(started_world(machines=3))
     inventory, view, now = node.rental.inventory, node.rental.view, node.context.now
     id, record = next(iter(node.fleet.records.items()))
     missing = Instant(now - 1.0)
@@ -418,7 +420,7 @@
 
 
 def test_unknown_machines_are_probed_over_few_connections() -> None:
-    node = leader(ready(machines=1))
+    node = leader(started_world(machines=1))
     node.context.effects.clear()
     for n in range(500):
         id = MachineId(f"i-8{n:05d}")
@@ -431,7 +433,7 @@
 def test_suspected_machines_waiting_for_a_connection_are_not_rescanned() -> None:
     """Guards against a scan, on each input after a takeover, of all machines whose commands still
     wait for a connection."""
-    world = ready(machines=12)
+    world = started_world(machines=12)
     node, _ = owner_and_machine(world)
     commands = node.fleet.commands
     commands._max_open = 2
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -13,7 +13,6 @@
     current_move,
     migrations_of,
     moves_begun,
-    moving,
     no_reservations,
     nodes,
     owner,
@@ -22,6 +21,7 @@
     settings,
     submit_array,
     world_with_locality,
+    world_with_move,
 )
 from world import CANCEL_S, World, spec
 
@@ -184,8 +184,8 @@
         unsettled.settled = False
         world.inbound_cut |= {unsettled.id}
     elif trouble == "former version":
-        for each in nodes(world):
-            each.store.values.pop("rc/format", None)
+        for cluster_node in nodes(world):
+            cluster_node.store.values.pop("rc/format", None)
     else:
         node.scheduler.unmet[share] = [None]  # type: ignore[list-item]
     migrations = node.scheduler.migrations
@@ -219,7 +219,7 @@
             )
         )
 
-    world = world_with_locality(places("a", "b"), each=1)
+    world = world_with_locality(places("a", "b"), machines_per_share_and_zone=1)
     submit_array(world, tasks=1, cpus=4.0)
     submit_array(world, "j-000002", tasks=1, cpus=4.0, team="team-3")
     assert runs_only_in(world, "a") and set(running_zones(world, "j-000002").values()) == {"b"}
@@ -250,7 +250,7 @@
 def test_owner_is_lost_between_stop_and_start_of_a_move(
     members: tuple[str, ...], after: float, how: str
 ) -> None:
-    world = moving(members)
+    world = world_with_move(members)
     node = owner(world)
     member = node.context.me
     world.run(after)
@@ -271,7 +271,7 @@
 @pytest.mark.parametrize("which", ["source", "target"])
 @pytest.mark.parametrize("how", ["dies", "hangs", "is deaf", "has notice"])
 def test_machine_is_lost_during_a_move(which: str, how: str) -> None:
-    world = moving()
+    world = world_with_move()
     move = current_move(world)
     assert move is not None
     machine = move.placement.machine if which == "source" else move.target
@@ -291,7 +291,7 @@
 
 
 def test_reserved_room_on_the_target_is_given_to_no_other_task_or_share() -> None:
-    world = moving()
+    world = world_with_move()
     move = current_move(world)
     assert move is not None
     target, node = move.target, owner(world)
@@ -319,7 +319,7 @@
 def test_cancellation_at_any_step_of_a_move_is_in_time(
     members: tuple[str, ...], after: float
 ) -> None:
-    world = moving(members)
+    world = world_with_move(members)
     world.run(after)
     world.until(lambda: world.cancel(UID) == "cancelled", 10)
     world.run(CANCEL_S + 1.0)  # a task that still runs by then counts as a broken rule
@@ -327,7 +327,7 @@
 
 
 def test_late_copies_of_orders_and_reports_start_and_stop_nothing() -> None:
-    world = moving()
+    world = world_with_move()
     world.duplicate_rate = 1.0
     check_single_run(world)
     world.run(30.0)
@@ -335,7 +335,7 @@
 
 
 def test_move_is_given_up_if_its_target_is_quarantined() -> None:
-    world = moving()
+    world = world_with_move()
     move = current_move(world)
     assert move is not None
     world.run(0.5)
@@ -346,7 +346,7 @@
 
 
 def test_task_may_be_done_when_the_stop_order_arrives() -> None:
-    world = moving()
+    world = world_with_move()
     move = current_move(world)
     assert move is not None
     worker = world.workers[str(move.placement.machine.id)]
@@ -358,7 +358,7 @@
 
 
 def test_move_is_given_up_and_its_room_freed_if_the_stop_takes_too_long() -> None:
-    world = moving()
+    world = world_with_move()
     move = current_move(world)
     assert move is not None
     world.run(0.5)
@@ -371,7 +371,7 @@
 
 
 def test_new_owner_does_not_move_again_what_was_moved_before() -> None:
-    world = moving()
+    world = world_with_move()
     check_single_run(world)
     moves_before = moves_begun(world)
     member = owner(world).context.me
@@ -424,7 +424,7 @@
     from runcourse.net.metrics import render as metrics
     from runcourse.tables import render
 
-    world = moving()
+    world = world_with_move()
     status = status_of(owner(world))
     locality = status["locality"]
     assert locality["moves"]["begun"] == 1 and locality["sources"][0]["zones"] == ["b"]
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -90,14 +90,14 @@
     assert job is not None and job.done_bits == all_bits >> 1
 
 
-def test_pages_are_not_split_while_a_previous_version_may_read_them() -> None:
+def test_pages_are_not_split_while_a_former_version_may_read_them() -> None:
     node, work = node_with_finished_tasks(
         20_000, {"value_kb": 2.0, "txn_ops": LEAST_TXN_OPS}, format_stored=False
     )
     work.unstored_done_bits = (1 << 16_000) | 1
     (commit,) = store_all_finished(node, work)
     assert [key for key, _, _ in commit.then] == ["rc/done/j-000001/0"]
-    # A larger page that the previous version wrote stays; new done bits go into parts.
+    # A larger page that the former version wrote stays; new done bits go into parts.
     node.store.values["rc/format"] = {"version": 2}
     work.unstored_done_bits = 1 << 15_000
     (commit,) = store_all_finished(node, work)
@@ -162,7 +162,7 @@
         for n in range(60)
     ]
     assert len(node.rental.catalogue.pages(rows)) == 1, (
-        "one page as long as the previous version may read it"
+        "one page as long as the former version may read it"
     )
     node.store.values["rc/format"] = {"version": 2}
     pages = node.rental.catalogue.pages(rows)
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -5,7 +5,7 @@
 
 import pytest
 from failing_parts import CLUSTER_SIZES, owner_of
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from world import LEASE_S, World, spec
 
 from runcourse.core import types as t
@@ -74,7 +74,7 @@
 
 
 def test_read_answered_before_a_pause_is_not_fresh_after_it() -> None:
-    world = ready()
+    world = started_world()
     store: Store = world.nodes["n0"].store  # type: ignore[union-attr]
     sync_results: list[bool] = []
     for pause, expected in ((0.1, True), (FRESH_S + 0.1, False)):
@@ -92,7 +92,7 @@
 
 
 def test_answers_that_depend_on_authority_or_a_read_carry_an_expiry() -> None:
-    world = ready()
+    world = started_world()
     world.submit(spec("j-000502", service=True))
     for member, node in world.nodes.items():
         assert node is not None
@@ -112,7 +112,7 @@
 
 
 def test_write_past_its_deadline_is_not_sent() -> None:
-    world = ready()
+    world = started_world()
     store: Store = world.nodes["n0"].store  # type: ignore[union-attr]
     store._paused_until = Instant(world.now + 5.0)
     results: list[CommitResult] = []
--- a/tests/test_safety_checks.py
+++ b/tests/test_safety_checks.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from test_failure_regressions import bare_machine, ready
+from test_failure_regressions import bare_machine, started_world
 from world import World, spec
 
 from runcourse.core import types as t
@@ -42,7 +42,7 @@
 
 
 def test_older_report_changes_nothing() -> None:
-    node, machine = owner_and_machine(ready())
+    node, machine = owner_and_machine(started_world())
     task = TaskId(spec("j-000001").uid, 0)  # type: ignore[arg-type]
     running = t.TaskReport(task, Attempt(7), "running")
     assert node.fleet.reports.apply(report_of(machine, machine.session, machine.seq + 5, running))
@@ -53,7 +53,7 @@
 
 
 def test_order_with_an_unknown_outcome_raises_the_token() -> None:
-    node, machine = owner_and_machine(ready())
+    node, machine = owner_and_machine(started_world())
     job = Job(spec("j-000002"), 1)  # type: ignore[arg-type]
     node.fleet.placements.place(job, 0, machine, machine.share.next_attempt())
     before = machine.token
@@ -71,7 +71,7 @@
 
 
 def test_finished_attempt_is_forgotten_only_once_the_finish_is_stored() -> None:
-    node, machine = owner_and_machine(ready())
+    node, machine = owner_and_machine(started_world())
     job = node.jobs.apply_job(
         "j-000003",
         job_value(spec("j-000003"), "accepted"),
@@ -110,7 +110,7 @@
 
 def test_node_without_state_service_and_peers_stops_though_workers_reach_it() -> None:
     """No peer grants the node time, and another node may have taken over its shares."""
-    world = ready()
+    world = started_world()
     for other in ("state", "n1", "n2"):
         world.cut_links.add(frozenset(("n0", other)))
     world.run(6.0)
@@ -203,7 +203,7 @@
 
 
 def test_single_store_failure_amid_successes_is_no_reason_to_grant() -> None:
-    node = owner_and_machine(ready())[0]
+    node = owner_and_machine(started_world())[0]
     other = next(m for m in node.context.members if m != node.context.me)
     incarnation = node.authority.live_incarnation(other)
 
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from test_safety_checks import owner_and_machine
 from world import World, spec
 
@@ -25,7 +25,7 @@
 
 
 def test_in_a_shortage_machines_are_left_to_tasks_whose_image_they_hold() -> None:
-    node, machine = owner_and_machine(ready(machines=12))
+    node, machine = owner_and_machine(started_world(machines=12))
     scheduler, share = node.scheduler, machine.share
     machines = list(node.fleet.of_share(share.number))[:4]
     assert len(machines) == 4
@@ -57,7 +57,7 @@
 
 
 def test_task_takes_a_machine_without_its_image_if_no_other_task_waits() -> None:
-    node, machine = owner_and_machine(ready(machines=12))
+    node, machine = owner_and_machine(started_world(machines=12))
     scheduler, share = node.scheduler, machine.share
     work = waiting_work(share.number, "c", 1)
     work.job.submitted = node.context.now
@@ -93,7 +93,7 @@
 
 def test_overdue_work_starts_first_and_then_gets_a_part_of_the_starts() -> None:
     """If all overdue work started first, work submitted meanwhile became overdue in turn."""
-    node, machine = owner_and_machine(ready(machines=12))
+    node, machine = owner_and_machine(started_world(machines=12))
     scheduler, share = node.scheduler, machine.share
     overdue = waiting_work(share.number, "img", 1, deadline_s=20.0)
     recent = waiting_work(share.number, "img", 2, deadline_s=500.0)
@@ -121,7 +121,7 @@
 def test_task_that_has_just_started_is_not_stopped_for_one_of_equal_rank() -> None:
     """An array left machines without its image to other tasks and at once stopped these tasks to
     take the machines: they were started and stopped again forty times a second."""
-    node, machine = owner_and_machine(ready(machines=12))
+    node, machine = owner_and_machine(started_world(machines=12))
     scheduler, share = node.scheduler, machine.share
     borrower = waiting_work(share.number, "img", 1, team="team-3")
     claimant = waiting_work(share.number, "img", 2, team="team-0")
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -1,6 +1,6 @@
 """Nodes of two versions in one cluster: the rolling upgrade, and each version on the other's data.
 
-Without the history of the repository, only the recorded store of the previous version is read.
+Without the history of the repository, only the recorded store of the former version is read.
 """
 
 import json
@@ -12,7 +12,7 @@
 import pytest
 from combined_failures import leader, recover_and_check, send, submit
 from failing_parts import CLUSTER_SIZES
-from gang_setup import gang, run_count
+from gang_setup import gang_spec, run_count
 from mixed_versions import (
     LEAST_TXN_OPS,
     LEAST_VALUE_BYTES,
@@ -65,7 +65,7 @@
 
 @needs_production_history
 @CLUSTER_SIZES
-def test_node_that_crashes_before_its_upgrade_returns_with_the_previous_version(
+def test_node_that_crashes_before_its_upgrade_returns_with_the_former_version(
     members: tuple[str, ...],
 ) -> None:
     world = loaded_world(members)
@@ -119,7 +119,7 @@
 @needs_production_history
 @CLUSTER_SIZES
 def test_cancellations_are_confirmed_in_every_mix_of_versions(members: tuple[str, ...]) -> None:
-    """A node of the previous version acknowledges cancellations by the list in its grant."""
+    """A node of the former version acknowledges cancellations by the list in its grant."""
     world = loaded_world(members)
     restart_as(world, members[0], 0.5, new=True)
     world.run(5.0)
@@ -194,7 +194,7 @@
         restart_as(world, member, 1.0, new=True)
         world.run(5.0)
     world.state.size_limits = (LEAST_VALUE_BYTES, LEAST_TXN_OPS)
-    world.submit(gang("j-000050", tasks=3))
+    world.submit(gang_spec("j-000050", tasks=3))
     for n in range(8):
         submit(world, spec(f"j-00030{n}", tasks=5, team=f"team-{n % 4}", estimate_s=2.0), "n0")
     world.run(10.0)
@@ -202,7 +202,7 @@
     recover_and_check(world)
 
 
-def test_store_of_the_previous_version_is_read() -> None:
+def test_store_of_the_former_version_is_read() -> None:
     stored = json.loads(production.STORED.read_text())
     assert stored["commit"] == production.commit()
     world = World(machines=0)
@@ -232,43 +232,43 @@
 
 
 @needs_production_history
-def test_previous_version_reads_the_store_of_this_version() -> None:
+def test_former_version_reads_the_store_of_this_version() -> None:
     world = World(machines=9, cpus_max=100.0)
     world.run(4.0)
     world.submit(spec("j-000001", tasks=2, service=True))
     world.submit(spec("j-000002", tasks=30, team="team-1", estimate_s=2.0))
-    world.submit(gang("j-000003", team="team-2", estimate_s=60.0))
+    world.submit(gang_spec("j-000003", team="team-2", estimate_s=60.0))
     world.submit(spec("j-000004", tasks=1, team="team-3", estimate_s=60.0))
     world.run(6.0)
     world.cancel("j-000004")
     world.until(lambda: format_stored(world), 10)
     new = world.nodes["n1"]
     assert new is not None
-    # A part of a job whose pages are too large: the previous version does not read it, and at worst
+    # A part of a job whose pages are too large: the former version does not read it, and at worst
     # starts the job's tasks again.
     world.state.epoch += 1
     world.state.data["rc/part/j-000002/0"] = ({"bits": "ff"}, world.state.epoch, None)
-    previous: Any = production.ProductionNode(
+    former: Any = production.ProductionNode(
         platform("n0"), Operators(), random.Random(1), Instant(world.now)
     )
     data = [(k, v, s) for k, (v, s, _) in sorted(world.state.data.items())]
-    tag = previous.node.store._read
-    previous.node.store._reading = True
+    tag = former.node.store._read
+    former.node.store._reading = True
     tag(
-        previous.types.Outcome(None, 200, (data, world.state.epoch), began=world.now),
+        former.types.Outcome(None, 200, (data, world.state.epoch), began=world.now),
         Instant(world.now),
         [],
     )
-    assert previous.store.ready
+    assert former.store.ready
     for uid in ("j-000001", "j-000002", "j-000003", "j-000004"):
-        new_job, previous_job = new.jobs.get(JobId(uid)), previous.jobs.get(uid)
-        assert new_job is not None and previous_job.stage == new_job.stage
+        new_job, former_job = new.jobs.get(JobId(uid)), former.jobs.get(uid)
+        assert new_job is not None and former_job.stage == new_job.stage
         assert json.dumps(msgspec.to_builtins(job_value(new_job.spec, "").spec)) == json.dumps(
-            production.modules()["jobs"].job_value(previous_job.spec, "")["spec"]
+            production.modules()["jobs"].job_value(former_job.spec, "")["spec"]
         )  # type: ignore[index]
-    assert previous.fleet.records.keys() == new.fleet.records.keys()
-    assert previous.fleet.types.keys() == new.fleet.types.keys()
+    assert former.fleet.records.keys() == new.fleet.records.keys()
+    assert former.fleet.types.keys() == new.fleet.types.keys()
     assert all(
-        previous.authority.live_inc(m) == new.authority.live_incarnation(m)  # type: ignore[arg-type]
+        former.authority.live_inc(m) == new.authority.live_incarnation(m)  # type: ignore[arg-type]
         for m in MEMBERS
     )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -9,7 +9,7 @@
 
 import pytest
 import uvloop
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from test_safety_checks import owner_and_machine
 from world import World
 
@@ -139,7 +139,7 @@
     """All machines are suspected at once, as after a restart of the whole system. Suspected
     machines use at most half of the commands that may be open at once, and in the end a command
     is sent to each of them."""
-    world: World = ready(machines=12)
+    world: World = started_world(machines=12)
     node, _ = owner_and_machine(world)
     fleet = node.fleet
     fleet.commands._max_open = 4
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from test_failure_regressions import context, ready
+from test_failure_regressions import new_context, started_world
 from world import World, spec
 
 from runcourse.core import types as t
@@ -14,7 +14,7 @@
 
 def store_with(*changes: tuple[str, Any, int], epoch: int = 1) -> Store:
     """Returns a store that has read these pairs (key, value, stamp) at this epoch."""
-    store = Store(context())
+    store = Store(new_context())
     store.sync()
     answer(store, 200, (list(changes), epoch))
     return store
@@ -93,7 +93,7 @@
 
 
 def test_node_whose_lease_ended_begins_a_new_incarnation() -> None:
-    world = ready()
+    world = started_world()
     world.submit(spec("j-000001", service=True, tasks=1))
     world.until(lambda: len(world.on_machines()) == 1, 10)
     node = world.nodes["n0"]
--- a/tests/test_unreachable_machines.py
+++ b/tests/test_unreachable_machines.py
@@ -3,7 +3,7 @@
 
 import pytest
 from failing_parts import CLUSTER_SIZES, owner_of, replacement_delay_s
-from test_failure_regressions import ready
+from test_failure_regressions import started_world
 from world import CANCEL_S, World, spec
 
 from runcourse.core import types as t
@@ -33,7 +33,7 @@
 
 
 def test_refusals_due_to_lost_contact_end_with_the_outage() -> None:
-    world = ready()
+    world = started_world()
     for n in range(6):
         world.submit(spec(f"j-00010{n}", service=True, tasks=1, team=f"team-{n % 4}"))
     world.state.outage(True)
@@ -81,7 +81,7 @@
 
 
 def test_tasks_on_unreachable_machines_count_against_limits_and_are_cancelled_in_time() -> None:
-    world = ready(machines=3, cpus_max=4.0)
+    world = started_world(machines=3, cpus_max=4.0)
     world.submit(spec("j-000410", service=True, tasks=2))
     world.until(lambda: len(world.on_machines()) == 2, 10)
     for worker in world.workers.values():
@@ -95,7 +95,7 @@
 
 
 def test_machine_is_used_again_once_it_is_reached() -> None:
-    world = ready(machines=1, lease_s=12.0)
+    world = started_world(machines=1, lease_s=12.0)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.inbound_cut.add(machine.id)
     node.fleet.commands.suspect(machine)
@@ -109,7 +109,7 @@
 
 
 def test_reports_of_an_unreachable_machine_are_refused_so_its_lease_ends() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     report = t.Report(
         machine.id,
@@ -138,7 +138,7 @@
 
 
 def test_orders_in_an_answer_that_leave_no_trace_make_the_machine_suspected() -> None:
-    world = ready(machines=1)
+    world = started_world(machines=1)
     node, machine = owner_of(world, next(iter(world.workers)))
     world.run(2.0)
     assert node.fleet.usable(machine)
