--- a/runcourse/core/leader/rental.py
+++ b/runcourse/core/leader/fleet_planner.py
@@ -48,7 +48,7 @@
 ExpectedMachines = dict[Offering, float]  # machines that are expected to come up
 
 
-class Rental:
+class FleetPlanner:
     """Plans for the whole fleet while this node leads, and reports its shares to the leader."""
 
     def __init__(
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -29,7 +29,7 @@
 from .entitlement_policy import EntitlementPolicy, NoEntitlements
 from .ids import LONG_AGO, Instant, JobId, MachineId, Member, ShareNo, Stamp
 from .jobs import DONE, JOB, PART, PART_BITS, Jobs
-from .leader.rental import Rental
+from .leader.fleet_planner import FleetPlanner
 from .machines import Fleet
 from .placement_policy import NoPolicy, PlacementPolicy
 from .quota import Quota
@@ -101,7 +101,7 @@
         self.fleet = Fleet(context, self.store, self.shares, self.jobs, self.scheduler)
         self.scheduler.connect(self.fleet, self.authority, self.versions)
         self.shares.all_machines_reachable = self.fleet.all_machines_reachable
-        self.rental = Rental(
+        self.fleet_planner = FleetPlanner(
             context,
             self.store,
             self.authority,
@@ -117,7 +117,7 @@
             self.shares,
             self.versions,
             self.entitlements,
-            self.rental.pool.capacity,
+            self.fleet_planner.pool.capacity,
         )
         self.confirmations = Confirmations(
             context, self.store, self.authority, self.shares, self.jobs
@@ -190,10 +190,10 @@
         self.fleet.tick()
         self.scheduler.tick()
         self.divisions.tick()
-        self.rental.tick()
-        if self.rental.leadership.leading:
+        self.fleet_planner.tick()
+        if self.fleet_planner.leadership.leading:
             self.versions.record_common_version(
-                self.rental.leadership.guard(), self.entitlements.active
+                self.fleet_planner.leadership.guard(), self.entitlements.active
             )
         self.confirmations.tick()
         now = self.context.now
@@ -298,7 +298,7 @@
         if not self.store.ready:
             self._answer(received, ReportAnswer(received.request, 503))
         elif record is None:
-            self.rental.inventory.handle_unknown_report(report)
+            self.fleet_planner.inventory.handle_unknown_report(report)
             self._answer(received, ReportAnswer(received.request, 503))
         elif record.share in self.shares.owned:
             self._handle_own_report(received, record.share)
@@ -410,15 +410,15 @@
                 self.confirmations.record_grant(member, message.number, message.cancelled)
                 self.authority.handle_grant_response(member, message)
             case ShareLoad():
-                self.rental.handle_share_load(message)
+                self.fleet_planner.handle_share_load(message)
             case UnknownMachine():
-                self.rental.inventory.handle_unknown_machine(message)
+                self.fleet_planner.inventory.handle_unknown_machine(message)
             case RelayedReport():
                 self._handle_report(ReportReceived(message.number, message.report, member))
             case RelayedResponse():
                 self._handle_relayed_response(message)
             case _:
-                self.rental.transfers.handle(message)
+                self.fleet_planner.transfers.handle(message)
 
     def _handle_heartbeat(self, member: Member, message: Heartbeat) -> None:
         self._peer_contact[member] = (self.context.now, message.contact)
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -239,7 +239,7 @@
         answer: types.DivisionAnswer | None = await self._ask(request, DIVISION_TIMEOUT_S)
         if answer is None:
             return {"result": "unknown", "reason": "no answer in time: ask again"}
-        leader = self.node.rental.leadership.leader()
+        leader = self.node.fleet_planner.leadership.leader()
         addresses = {peer.member: peer.addr for peer in self._platform.peers}
         return {
             **msgspec.to_builtins(answer),
--- a/runcourse/net/metrics.py
+++ b/runcourse/net/metrics.py
@@ -26,7 +26,7 @@
         node = self.node
         gauges = [
             ("runcourse_entitled", "1 while this controller may act", node.authority.may_act()),
-            ("runcourse_leading", "1 on the leader", node.rental.leadership.leading),
+            ("runcourse_leading", "1 on the leader", node.fleet_planner.leadership.leading),
             (
                 "runcourse_contact_age_seconds",
                 "since the state service answered",
--- a/tests/combined_failures.py
+++ b/tests/combined_failures.py
@@ -45,7 +45,8 @@
 
 def leader(world: World) -> str | None:
     return next(
-        (m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading), None
+        (m for m, n in world.nodes.items() if n is not None and n.fleet_planner.leadership.leading),
+        None,
     )
 
 
--- a/tests/production.py
+++ b/tests/production.py
@@ -87,6 +87,7 @@
         # The present names, for tests that read attributes of nodes of either version.
         self.node.shares.owned = self.node.shares.mine
         self.node.rental.leadership = self.node.rental
+        self.node.fleet_planner = self.node.rental
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.node, name)
@@ -147,6 +148,8 @@
         self.types = loaded["types"]
         self.messages = importlib.import_module(f"{self.name}.wire.peer_messages")
         self.node = loaded["node"].Node(platform, operators, rng, now)
+        # The present name, for tests that read attributes of nodes of either version.
+        self.node.fleet_planner = self.node.rental
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.node, name)
--- a/tests/random_failures.py
+++ b/tests/random_failures.py
@@ -317,7 +317,9 @@
 
     def _leading_by_member(self) -> dict[str, bool]:
         return {
-            m: n.rental.leadership.leading for m, n in self.world.nodes.items() if n is not None
+            m: n.fleet_planner.leadership.leading
+            for m, n in self.world.nodes.items()
+            if n is not None
         }
 
     def _await_leader(
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -27,7 +27,9 @@
 
 def leader(world: World) -> str:
     """Returns the member that leads; raises StopIteration if none does."""
-    return next(m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading)
+    return next(
+        m for m, n in world.nodes.items() if n is not None and n.fleet_planner.leadership.leading
+    )
 
 
 def owner_counts(world: World) -> Counter[str]:
@@ -139,7 +141,8 @@
 def leader_or_none(world: World) -> str | None:
     """Returns the member that leads, or None."""
     return next(
-        (m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading), None
+        (m for m, n in world.nodes.items() if n is not None and n.fleet_planner.leadership.leading),
+        None,
     )
 
 
--- a/tests/test_fleet_indexes.py
+++ b/tests/test_fleet_indexes.py
@@ -79,11 +79,11 @@
         }
     task_sizes = Counter((job.spec.team, job.spec.cpus) for job in node.jobs.open_jobs())
     assert dict(node.jobs._open_task_sizes) == dict(task_sizes)
-    rental = node.rental
-    adopting = MachineGroups(rental.adoption._pending_records.values())
-    assert dict(rental.adoption.pending_groups().counts()) == dict(adopting.counts())
-    view = rental.view
-    if rental.leadership.leading and view._following:
+    planner = node.fleet_planner
+    adopting = MachineGroups(planner.adoption._pending_records.values())
+    assert dict(planner.adoption.pending_groups().counts()) == dict(adopting.counts())
+    view = planner.view
+    if planner.leadership.leading and view._following:
         staying = {id for id, r in fleet.records.items() if not r.leaving}
         assert set(view.expected) <= staying
         for share, idle_machines in view._idle_since.items():
--- a/tests/test_gang_placement.py
+++ b/tests/test_gang_placement.py
@@ -95,10 +95,10 @@
     assert need.block and need.hire == 6 and sum(need.room.values()) >= 2
     (zone,) = [z for z, n in need.room.items() if n == max(need.room.values())][:1]
     other, third = sorted({"a", "b", "c"} - {zone})
-    rental = node.rental
+    planner = node.fleet_planner
 
     def count_after_booting(booting: dict[str, float]) -> int:
-        rental._deduct_expected([need], {("m4", z, False): n for z, n in booting.items()})
+        planner._deduct_expected([need], {("m4", z, False): n for z, n in booting.items()})
         return need.count
 
     assert count_after_booting({zone: 1.0, other: 1.0, third: 1.0}) > 0, (
@@ -106,7 +106,7 @@
     )
     assert need.missing_by_zone[zone] == 6 - need.room[zone] - 2
     options = [HireOption(1.0, node.fleet.types["m4"], z, False) for z in (zone, other, third)]
-    assert {o.zone for o in rental.hiring._restrict_to_zone(share, need, options)} == {zone}
+    assert {o.zone for o in planner.hiring._restrict_to_zone(share, need, options)} == {zone}
     assert need.count == need.missing_by_zone[zone], "only the tasks missing in that zone"
     assert count_after_booting({zone: 2.0}) == 0
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -143,7 +143,7 @@
     world = World(machines=9, on_production=True)
     world.run(5.0)
     leader_of_former_version = next(
-        m for m, n in world.nodes.items() if n and n.rental.leadership.leading
+        m for m, n in world.nodes.items() if n and n.fleet_planner.leadership.leading
     )
     upgraded = next(m for m in world.members if m != leader_of_former_version)
     world.crash(upgraded)
@@ -152,12 +152,12 @@
     node = world.nodes[upgraded]
     assert node is not None
     world.until(lambda: bool(node.shares.owned) and bool(node.fleet.machines), 10.0)
-    node.rental._pages = {}
+    node.fleet_planner._pages = {}
     node.context.effects.clear()
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("runcourse.core.leader.demand.LOAD_PAGE", 1)
         assert not node.versions.reads(Member(leader_of_former_version), PAGED_LOADS_VERSION)
-        node.rental._report_loads()
+        node.fleet_planner._report_loads()
     sent = [e.message for e in node.context.effects if isinstance(e, t.SendToPeer)]
     (share_load,) = [m for m in sent if isinstance(m, ShareLoad)]
     assert len(share_load.machines) == len(node.fleet.of_share(share_load.share)) > 1
@@ -170,7 +170,7 @@
     """The state service takes most of a minute to write 4,000 records, and a submission was queued
     behind all of them."""
     node = leader(started_world(machines=1))
-    adoption, queued = node.rental.adoption, node.store._queued
+    adoption, queued = node.fleet_planner.adoption, node.store._queued
     found = [
         FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(4000)
     ]
@@ -187,7 +187,7 @@
     found = [FoundMachine(MachineId(f"i-9{n:05d}"), "m4", "a", False, ShareNo(0)) for n in range(3)]
     node.context.effects.clear()
     node.store._write_budget.level = 1e9
-    node.rental.adoption.adopt(found)
+    node.fleet_planner.adoption.adopt(found)
     batch = next(e for e in node.context.effects if isinstance(e, t.Commit))
     assert len(batch.then) == 3
     concurrent_value = MachineValue(ShareNo(1), "m4", "a", False, False)
@@ -197,7 +197,7 @@
     node.store._flush()
     retried_keys = [e.then[0].key for e in node.context.effects if isinstance(e, t.Commit)]
     assert sorted(retried_keys) == [MACHINE + machine.id for machine in found[1:]]
-    assert found[0].id not in node.rental.adoption._pending_records
+    assert found[0].id not in node.fleet_planner.adoption._pending_records
 
 
 def test_returning_a_fleet_leaves_write_capacity_for_users_and_machines_for_work() -> None:
@@ -207,7 +207,7 @@
     writes = node.store._write_budget
     writes.rate, writes.level, writes.at = 8.0, 0.0, node.context.now
     for machine in machines:
-        node.rental.transfers.handle(ReturnMachine(machine.id))
+        node.fleet_planner.transfers.handle(ReturnMachine(machine.id))
     moving = [m for m in machines if m.moving]
     assert 1 <= len(moving) == node.store.max_changes(MAX_CHANGE_BACKLOG_S) < len(machines)
     assert 0.0 < node.store.backlog <= FAIR_BACKLOG_S, (
@@ -220,7 +220,7 @@
     848 machines were returned."""
     world = started_world(machines=60)
     node = leader(world)
-    inventory, store = node.rental.inventory, node.store
+    inventory, store = node.fleet_planner.inventory, node.store
     ids = list(node.fleet.records)[:50]
     for id in ids:
         node.fleet.leaving[id] = None
@@ -245,7 +245,7 @@
 
 def test_deletion_of_returned_machine_records_keeps_up_with_returns() -> None:
     node = leader(started_world(machines=1))
-    inventory, size = node.rental.inventory, node.context.limits.txn_ops
+    inventory, size = node.fleet_planner.inventory, node.context.limits.txn_ops
     inventory.largest_fleet = 0
     for n in range(1000 + 500):
         key = f"{MACHINE}i-{500_000 + n}"
@@ -352,7 +352,9 @@
     world.run(3.0)
     assert len(records) > 100 and not world.violations
     node = leader(world)
-    assert not node.rental.adoption._pending_records and not node.rental.adoption._queue
+    assert (
+        not node.fleet_planner.adoption._pending_records and not node.fleet_planner.adoption._queue
+    )
     held = [m.id for n in world.nodes.values() if n for m in n.fleet.machines.values()]
     assert len(held) == len(set(held)) == 300, "each machine belongs to one share"
 
@@ -391,7 +393,7 @@
 
 def test_long_machine_list_leaves_most_of_the_cloud_rate_to_hires() -> None:
     node = leader(started_world(machines=1))
-    inventory, rps = node.rental.inventory, node.context.platform.settings.cloud.rps
+    inventory, rps = node.fleet_planner.inventory, node.context.platform.settings.cloud.rps
     assert inventory._list_every_s() == 3.0
     inventory._listed_now = {MachineId(f"i-{n:06d}") for n in range(100 * LIST_PAGE)}
     assert 100 / inventory._list_every_s() == pytest.approx(rps / 4)
@@ -401,7 +403,7 @@
     """Owners report their machines page by page, so a report older than the list does not prove
     that a machine is gone."""
     node = leader(started_world(machines=3))
-    inventory, view, now = node.rental.inventory, node.rental.view, node.context.now
+    inventory, view, now = node.fleet_planner.inventory, node.fleet_planner.view, node.context.now
     id, record = next(iter(node.fleet.records.items()))
     missing = Instant(now - 1.0)
     view._last_loads[id] = (Instant(now - 2.0), MachineLoad(0.5, -1.0, 0.0))
@@ -415,7 +417,7 @@
         "a newer owner report says that the machine was silent since"
     )
     view._last_loads[id] = (Instant(now - 2.0), MachineLoad(0.5, -1.0, 0.0))
-    node.rental.loads[record.share].at = Instant(now - LOAD_VALID_S - 0.1)
+    node.fleet_planner.loads[record.share].at = Instant(now - LOAD_VALID_S - 0.1)
     assert not inventory._may_still_exist(id, missing), "its owner has stopped reporting"
 
 
@@ -424,7 +426,7 @@
     node.context.effects.clear()
     for n in range(500):
         id = MachineId(f"i-8{n:05d}")
-        node.rental.inventory._check_unknown(id, f"{id}:1", "m4", "a", False)
+        node.fleet_planner.inventory._check_unknown(id, f"{id}:1", "m4", "a", False)
     probes = [e for e in node.context.effects if isinstance(e, t.Probe)]
     sockets = node.context.platform.settings.quota.sockets(len(node.context.members))
     assert 1 <= len(probes) == sockets.probes < 500
@@ -521,4 +523,4 @@
 
 def test_default_world_settings_leave_sockets_for_probes() -> None:
     node = Node(platform("n0"), Operators(), random.Random(1), Instant(0.0))
-    assert node.rental.inventory._max_probes >= 1
+    assert node.fleet_planner.inventory._max_probes >= 1
--- a/tests/test_locality_moves.py
+++ b/tests/test_locality_moves.py
@@ -297,7 +297,7 @@
     target, node = move.target, owner(world)
     assert target.busy, "without the reservation the empty target would be returned or transferred"
     other = next(s for s in node.shares.all() if s != target.share.number)
-    node.rental.transfers.handle(_transfer_message(target, other))
+    node.fleet_planner.transfers.handle(_transfer_message(target, other))
     assert not target.moving
     size = move.placement.size
     free = target.room
--- a/tests/test_lower_limits.py
+++ b/tests/test_lower_limits.py
@@ -153,19 +153,19 @@
     node.fleet.types = {"m4": t.MachineType("m4", 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ())}
     ids = [MachineId(f"i-{n:06d}") for n in range(100)]
     found = [FoundMachine(id, "m4", "a", False, ShareNo(0)) for id in ids]
-    node.rental.adoption.leading = lambda: True
-    node.rental.adoption.adopt(found)
+    node.fleet_planner.adoption.leading = lambda: True
+    node.fleet_planner.adoption.adopt(found)
     batches = answer_all_commits(node)
     assert sum(map(len, batches)) == 100 and max(map(len, batches)) == LEAST_TXN_OPS
     rows = [
         [f"type-{n:03d}" + "x" * 100, 4.0, 16.0, 0.0, 40.0, 1.0, 1.0, 0.3, 2.0, ["a", "b"]]
         for n in range(60)
     ]
-    assert len(node.rental.catalogue.pages(rows)) == 1, (
+    assert len(node.fleet_planner.catalogue.pages(rows)) == 1, (
         "one page as long as the former version may read it"
     )
     node.store.values["rc/format"] = {"version": 2}
-    pages = node.rental.catalogue.pages(rows)
+    pages = node.fleet_planner.catalogue.pages(rows)
     assert max(map(json_size, pages.values())) <= LEAST_VALUE_BYTES
     for key, page in sorted(pages.items()):
         node.store._apply(key, page, Stamp(50))
--- a/tests/test_machines_between_organisations.py
+++ b/tests/test_machines_between_organisations.py
@@ -33,13 +33,13 @@
 def ask_to_yield(owner: Node, machine: Machine, cpus: float = 4.0) -> None:
     share = machine.share.number
     other = next(s for s in owner.shares.all() if s != share)
-    owner.rental.transfers.handle(YieldMachines(share, other, cpus, DEMAND, True))
+    owner.fleet_planner.transfers.handle(YieldMachines(share, other, cpus, DEMAND, True))
 
 
 def ask_to_vacate(owner: Node, machine: Machine, entitled: bool = True) -> None:
     share = machine.share.number
     other = next(s for s in owner.shares.all() if s != share)
-    owner.rental.transfers.handle(VacateMachine(share, other, DEMAND, entitled))
+    owner.fleet_planner.transfers.handle(VacateMachine(share, other, DEMAND, entitled))
 
 
 def is_draining(world: PoolWorld, machine: Machine) -> bool:
--- a/tests/test_pool_failures.py
+++ b/tests/test_pool_failures.py
@@ -323,7 +323,7 @@
         owner, machine = owner_of(world, worker.id)
         targets = [s for s in owner.shares.all() if s != machine.share.number][:2]
         for share in targets:  # a former and a present leader may ask at the same time
-            owner.rental.transfers.handle(TransferMachine(machine.id, share))
+            owner.fleet_planner.transfers.handle(TransferMachine(machine.id, share))
         world.run(0.5)
         world.assert_rules_hold()
         record = world.state.data[f"rc/machine/{worker.id}"][0]
@@ -403,7 +403,7 @@
     owner, machine = owner_of(world, next(iter(world.workers)))
     first, second = [s for s in owner.shares.all() if s != machine.share.number]
     world.late_writes = 1.0
-    owner.rental.transfers.handle(TransferMachine(machine.id, first))
+    owner.fleet_planner.transfers.handle(TransferMachine(machine.id, first))
     world.run(0.2)
     world.late_writes = 0.0
     for share in (first, second):
@@ -411,7 +411,7 @@
         world.run(0.5)
         if share == first:
             present, _ = owner_of(world, str(machine.id))
-            present.rental.transfers.handle(TransferMachine(machine.id, second))
+            present.fleet_planner.transfers.handle(TransferMachine(machine.id, second))
             world.run(0.1)
     world.run(12.0)
     return world
--- a/tests/test_process_pauses.py
+++ b/tests/test_process_pauses.py
@@ -136,7 +136,7 @@
     world = World(machines=0, members=members)
     world.run(4.0)
     leader = next(
-        m for m, n in world.nodes.items() if n is not None and n.rental.leadership.leading
+        m for m, n in world.nodes.items() if n is not None and n.fleet_planner.leadership.leading
     )
     other = next(m for m in members if m != leader)
     world.capacity = 8
--- a/tools/measure_entitlements_world.py
+++ b/tools/measure_entitlements_world.py
@@ -25,7 +25,7 @@
 from world_pool import DEALERS, REGISTRY, TEAMS, PoolWorld  # noqa: E402
 
 from runcourse.config import Operators  # noqa: E402
-from runcourse.core.leader.rental import Rental  # noqa: E402
+from runcourse.core.leader.fleet_planner import FleetPlanner  # noqa: E402
 from runcourse.core.types import Commit, Follow  # noqa: E402
 
 RAISED_WEIGHTS = {DEALERS: 1.0, REGISTRY: 3.0}
@@ -45,14 +45,14 @@
 
     def __init__(self) -> None:
         self.durations: list[float] = []
-        plan = Rental._plan
+        plan = FleetPlanner._plan
 
-        def timed(rental: Rental) -> None:
+        def timed(planner: FleetPlanner) -> None:
             started = time.process_time()
-            plan(rental)
+            plan(planner)
             self.durations.append(time.process_time() - started)
 
-        Rental._plan = timed  # type: ignore[method-assign]
+        FleetPlanner._plan = timed  # type: ignore[method-assign]
 
     def summary(self) -> dict[str, float]:
         """Returns the number of plans, their median and their longest time in milliseconds."""
