--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -1,4 +1,6 @@
-"""The stored division: read by every node, changed by compare-and-swap through any of them.
+"""The stored division: the limits (minimum, weight, maximum) of all organisations.
+
+Every node reads it, and operators change it by compare-and-swap through any node.
 
 A change is conditional on the version that its author saw and on the stamp of the stored value, so
 of two concurrent changes one is stored and the other is refused. If the answer to a change is lost,
@@ -23,7 +25,7 @@
 from .versions import DIVISIONS_VERSION, Versions
 
 MAX_PAST_DIVISIONS = 5  # former divisions kept in the stored value, for a rollback
-MIN_PAST_DIVISIONS = 1  # with fewer, the change is refused as too large
+MIN_PAST_DIVISIONS = 1  # a change is refused as too large if not even this many fit besides
 CHANGE_TIMEOUT_S = 4.0  # that an operator's request waits for the result of a change
 
 NO_CONTACT = "the state service does not answer"
@@ -31,7 +33,7 @@
 
 
 class Divisions:
-    """Answers operators' requests and passes changes in the store to the policy."""
+    """Answers operators' requests on the division, and passes stored changes to the policy."""
 
     def __init__(
         self,
@@ -47,7 +49,7 @@
         self.shares = shares
         self.versions = versions
         self.policy = policy
-        self.capacity = capacity  # returns the CPUs on record
+        self.capacity = capacity  # returns the CPUs of all recorded machines, without leaving ones
         self._mapping_stamp = Stamp(-1)
         self._logged_problem = ""
         if policy.active:
@@ -57,7 +59,8 @@
         self.policy.division_changed(value.current if value is not None else None)
 
     def tick(self) -> None:
-        """Passes a changed team mapping to the policy; logs a change of why it is not in force."""
+        """Passes a changed team mapping to the policy, and logs a new reason why that is not in
+        force."""
         if not self.policy.active or not self.store.ready:
             return
         stamp = self.store.stamp(MAPPING)
@@ -72,7 +75,8 @@
                 self.context.log("warning", f"entitlements are not in force: {problem}")
 
     def _any_share_taken(self) -> bool:
-        """Returns whether any share was ever owned; the team mapping is stored with the first."""
+        """Returns whether any share was ever owned; the team mapping is stored when the first share
+        is taken."""
         return any(self.shares.owner(share) is not None for share in self.shares.all())
 
     # --- requests ------------------------------------------------------------------------
@@ -119,8 +123,8 @@
         if not past:
             self._refuse(request, "version: there is no former division to go back to")
             return
-        # If the same rollback was stored before, the division that it restored is now the second
-        # of the former ones.
+        # If this request is a repetition and its rollback was stored before, the division that it
+        # restored is now the second of the former ones.
         restored = past[1] if len(past) > 1 else None
         if restored and self._already_applied(
             request, restored.limits, _rollback_note(request, restored)
@@ -213,11 +217,16 @@
         )
 
     def _resolve_conflict(self, request: DivisionRequest) -> None:
-        """Another change was stored first: reads it, and answers with both versions."""
+        """Reads the store after a commit whose conditions failed, and executes the request again.
+
+        Another division was stored, or the team mapping changed, or an earlier attempt to commit
+        this change succeeded without an answer.
+        """
 
         def on_read(ok: bool) -> None:
             if ok:
-                # The request expects a former version now, unless it was applied itself.
+                # The answer is "ok" if this change itself was stored, and "refused" if another
+                # division was. If only the team mapping changed, the change is tried again.
                 self._execute(request)
             else:
                 self._answer(request, "unknown", UNKNOWN_OUTCOME)
--- a/runcourse/core/entitlement_policy.py
+++ b/runcourse/core/entitlement_policy.py
@@ -1,5 +1,9 @@
 """The interface through which entitlements influence how machines are divided among shares.
 
+Organisations are sets of teams with limits: a minimum and a maximum in CPUs, and a weight. A
+division is the limits of all of them, and a target is the CPUs that an organisation should hold
+now by its limits and everyone's demand.
+
 An entitlement policy answers queries and issues no commands. The leader queries it before it
 hires machines for a share or asks an owner for machines; stored records, conditions on writes and
 transactions stay with the modules that own them. Without a policy (`NoEntitlements`) the leader
@@ -19,7 +23,7 @@
 
 
 class ShareState(NamedTuple):
-    """The state of a share, from the records at one revision and its owner's report."""
+    """The state of a share, from the machine records at one revision and its owner's report."""
 
     share: ShareNo
     held: float  # CPUs of the share's machines on record, without machines that are leaving
@@ -39,9 +43,9 @@
 class Reassignment(NamedTuple):
     """Machines that the owner of one share is to transfer to another as they become empty."""
 
-    giver: ShareNo
-    taker: ShareNo
-    cpus: float
+    giver: ShareNo  # has the machines
+    taker: ShareNo  # is to get them
+    cpus: float  # of the machines
 
 
 class EntitlementPolicy(Protocol):
@@ -53,7 +57,8 @@
 
     @property
     def in_force(self) -> bool:
-        """Whether, by the stored team mapping, every share serves at most one organisation."""
+        """Whether the policy has effect: by the stored team mapping every share serves at most one
+        organisation, and the division names the configured organisations."""
 
     @property
     def problem(self) -> str:
@@ -66,7 +71,7 @@
         """Derives from the stored team mapping which organisation each share serves."""
 
     def organisation(self, share: ShareNo) -> OrganisationName | None:
-        """Returns the organisation that the share serves, or None if it serves none."""
+        """Returns the organisation that the share serves, or None if it serves none or several."""
 
     def division_changed(self, division: Division | None) -> None:
         """Puts another division in force; None means that the store holds none."""
@@ -75,8 +80,8 @@
         """Returns the division in force."""
 
     def validate_division(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
-        """Returns why such a division is invalid, with the field, or an empty string. `capacity`
-        is the number of CPUs on record."""
+        """Returns why a division with these limits is invalid, with the field, or an empty string.
+        `capacity` is the CPUs of all recorded machines that are not leaving."""
 
     def begin(self, now: Instant) -> None:
         """Called when this node becomes leader; nothing of an earlier leader's state is known."""
@@ -88,29 +93,32 @@
         """Updates targets from the state of the pool before each plan; returns log lines."""
 
     def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[OrganisationName, float]:
-        """Returns the targets in CPUs that such a division would give in the present pool."""
+        """Returns the targets in CPUs that these limits would give for the present machines and
+        demand; empty unless this node leads."""
 
     def below_target(self, share: ShareNo, incoming_cpus: float = 0.0) -> bool:
-        """Returns whether the share's organisation requests more CPUs and holds too few, also
-        after it receives `incoming_cpus`."""
+        """Returns whether the share's organisation is to get machines to reach its target, also
+        after it receives `incoming_cpus`; False while the policy is not in force."""
 
     def meets_target(self, share: ShareNo) -> bool:
-        """Returns whether the share's organisation holds at least its target."""
+        """Returns whether the share's organisation holds at least its target; False while the
+        policy is not in force."""
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """Returns whether a machine may be requested from an owner that could use it itself."""
+        """Returns whether the taker may get a machine that the giver's waiting tasks could use."""
 
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
-        """Returns whether both shares serve the same organisation."""
+        """Returns whether both shares serve the same organisation; True while the policy is not in
+        force."""
 
     def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
-        """Counts a machine requested in this plan for the taker until the next plan."""
+        """Counts a requested machine as the taker's and not the giver's until the next plan."""
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
-        """Returns what owners are to transfer as their machines become empty."""
+        """Returns the CPUs that givers are to transfer to takers as machines become empty."""
 
     def status(self) -> dict[str, Any]:
-        """Returns what operators may see; targets only on the leader."""
+        """Returns the status for operators; it holds targets only on the leader."""
 
 
 class NoEntitlements:
--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -1,6 +1,7 @@
 """Adoption of unrecorded machines: assigns each to a share and records it in the store.
 
-A machine is recorded before the first command is sent to it.
+A machine's record is its entry in the store. It is written before the first command is sent to the
+machine.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from .demand import LoadReport
 
 MAX_OPEN_TRANSACTIONS = 2  # concurrent transactions that record machines
-MIN_TEAMS_PER_SHARE = 0.5  # a share without teams counts as this many, so its demand is never 0
+MIN_TEAMS_PER_SHARE = 0.5  # teams; a share with fewer counts as this many, so its demand is never 0
 
 
 class FoundMachine(NamedTuple):
-    """A machine without a record; `share` is the share it was hired for, if any."""
+    """A machine without a record in the store; `share` is the share it was hired for, if any."""
 
     id: MachineId
     type: str
@@ -35,7 +36,7 @@
 
 
 def split_batch(ids: list[MachineId]) -> list[list[MachineId]]:
-    """Returns the halves of a batch that the state service rejects as too large.
+    """Returns the two halves of a batch of changes that the state service rejected as too large.
 
     The result is empty for a single machine, whose change is given up.
     """
@@ -44,7 +45,7 @@
 
 
 class FleetAllocation:
-    """CPUs and machine counts of each share."""
+    """CPUs and number of machines by type that each share has."""
 
     def __init__(
         self, cpus: dict[ShareNo, float], machine_counts: Counter[tuple[ShareNo, str]]
@@ -53,7 +54,7 @@
         self.machine_counts = machine_counts  # by share and type
 
     def neediest_share(self, type_: str, demand_cpus: dict[ShareNo, float]) -> ShareNo:
-        """Returns the share with the fewest CPUs for its demand; it gets the next machine."""
+        """Returns the share with the fewest CPUs per CPU of demand; it gets the next machine."""
         return min(
             self.cpus,
             key=lambda s: (self.cpus[s] / demand_cpus[s], self.machine_counts[s, type_], s),
@@ -89,21 +90,23 @@
         self.loads = loads
         self.leading = leading
         self.guard = guard
-        self.returned: set[MachineId] = set()  # returned machines, never recorded again
+        # Machines returned to the cloud, which are not recorded again.
+        self.returned: set[MachineId] = set()
         self._pending_records: dict[MachineId, Record] = {}  # queued or being committed
-        self._groups = MachineGroups()  # groups of the pending records
+        # Counts of the pending records by share, type, zone and spot.
+        self._groups = MachineGroups()
         self._queue: deque[MachineId] = deque()
         self._open_transactions = 0
 
     def pending_groups(self) -> MachineGroups:
-        """Returns the groups of the machines that are being recorded."""
+        """Returns counts of the machines that are being recorded, by share, type, zone and spot."""
         return self._groups
 
     def allocation(self) -> FleetAllocation:
-        """Returns the CPUs of each share, and the machines by share and type.
+        """Returns the CPUs of each share, and the number of its machines by type.
 
-        Machines that are being recorded count too; otherwise a whole list of new machines would
-        go to one share.
+        Machines that are being recorded count too; otherwise all machines of a list of new ones
+        would go to the same share.
         """
         cpus = dict.fromkeys(self.shares.all(), 0.0)
         machine_counts: Counter[tuple[ShareNo, str]] = Counter()
@@ -114,7 +117,7 @@
         return FleetAllocation(cpus, machine_counts)
 
     def adopt(self, found: list[FoundMachine]) -> None:
-        """Records machines for the share they name, or for the share with the greatest need."""
+        """Records new machines for the share they were hired for, or else the neediest share."""
         allocation: FleetAllocation | None = None
         demand_cpus: dict[ShareNo, float] = {}
         for machine in found:
@@ -142,9 +145,10 @@
         )
 
     def _demand_cpus(self) -> dict[ShareNo, float]:
-        """Returns the CPUs that waiting and running tasks of each share request.
+        """Returns for each share the CPUs used and the CPUs of waiting tasks without a machine.
 
-        The number of teams of the share is added, so that it decides while there are no tasks.
+        Load reports of any age count. The number of the share's teams is added as CPUs, so that
+        it decides while there are no tasks.
         """
         teams = Counter(
             self.shares.of_team(Team(team.name)) for team in self.context.platform.settings.teams
@@ -207,5 +211,5 @@
                 self._record([id], Store.OWNER)
 
     def _remove_pending(self, id: MachineId) -> None:
-        """Removes a machine that is recorded by now, or that will be found again."""
+        """Removes a machine from the pending ones: it has a record now, or will be found again."""
         self._groups.remove(self._pending_records.pop(id))
--- a/runcourse/core/leader/boot_times.py
+++ b/runcourse/core/leader/boot_times.py
@@ -9,14 +9,14 @@
 from ..machines import Fleet
 from ..types import MachineType
 
-MIN_OVERDUE_FACTOR = 1.5  # on the type's nominal boot time; most boots are faster
-MAX_OVERDUE_FACTOR = 4.0  # on the nominal boot time, where recent boots took longer
-RECENT_BOOT_MARGIN = 1.15  # factor on the longest recent boot
-OVERDUE_SLACK_S = 2.0
-GIVE_UP_BOOT_FRACTION = 0.5  # of the nominal boot time, between overdue and given up
-GIVE_UP_SLACK_S = 3.0
-MAX_RECENT_BOOTS = 12  # kept per type
-MIN_NOMINAL_BOOT_S = 1.0  # lower bound of the divisor of boot time ratios
+MIN_OVERDUE_FACTOR = 1.5  # times the type's nominal boot time: a boot is not overdue before
+MAX_OVERDUE_FACTOR = 4.0  # times the nominal boot time: upper bound if recent boots took longer
+RECENT_BOOT_MARGIN = 1.15  # times the longest recent boot: a boot is overdue only after that
+OVERDUE_SLACK_S = 2.0  # added to the time after which a boot is overdue
+GIVE_UP_BOOT_FRACTION = 0.5  # of the nominal boot time, from being overdue to being given up
+GIVE_UP_SLACK_S = 3.0  # added to the time after which a boot is given up
+MAX_RECENT_BOOTS = 12  # boots whose times are kept, per machine type
+MIN_NOMINAL_BOOT_S = 1.0  # shorter nominal boot times count as this long in ratios to them
 
 
 class BootTimes:
@@ -27,7 +27,7 @@
         self.fleet = fleet
         # Recent boot times by type, as multiples of the type's nominal boot time.
         self.recent_ratios: dict[str, deque[float]] = {}
-        self._booting: dict[MachineId, Instant] = {}  # boot starts of machines without a report
+        self._booting: dict[MachineId, Instant] = {}  # start of the boot, until the first report
 
     def clear(self) -> None:
         """Drops the boots that were tracked during an earlier leadership."""
@@ -47,10 +47,10 @@
             del self._booting[id]
 
     def overdue_after_s(self, type_: MachineType) -> float:
-        """Returns the seconds after which a boot is overdue and work uses another machine instead.
+        """Returns the seconds after which a boot is overdue and no longer counted on.
 
-        If recent boots of the type took long, the limit is longer: another machine would be no
-        faster.
+        The leader then provides another machine for the waiting tasks. If recent boots of the type
+        took long, the limit is longer: another machine would be no faster.
         """
         ratios = self.recent_ratios.get(type_.name)
         recent = RECENT_BOOT_MARGIN * max(ratios) if ratios else 0.0
--- a/runcourse/core/leader/catalogue.py
+++ b/runcourse/core/leader/catalogue.py
@@ -14,8 +14,8 @@
 from ..versions import Versions
 from .leadership import Leadership
 
-CATALOG_EVERY_S = 30.0  # between two readings of the catalogue
-EMPTY_CATALOG_EVERY_S = 1.0  # while no machine type is known
+CATALOG_EVERY_S = 30.0  # between two readings of the cloud's catalogue
+EMPTY_CATALOG_EVERY_S = 1.0  # between two readings while no machine type is known
 SCALAR_COLUMNS = 9  # fields of `MachineType` before `zones`
 BYTES_PER_KB = 1024
 
@@ -23,7 +23,7 @@
 
 
 class Catalogue:
-    """Keeps the stored catalogue equal to the cloud's."""
+    """Keeps the copy of the catalogue in the store equal to the cloud's."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._last_read_at = LONG_AGO
 
     def tick(self) -> None:
-        """Reads the catalogue from the cloud when it is due."""
+        """Reads the catalogue from the cloud when the interval since the last reading is over."""
         every = CATALOG_EVERY_S if self.fleet.types else EMPTY_CATALOG_EVERY_S
         if self.context.now >= self._last_read_at + every:
             self._last_read_at = self.context.now
@@ -67,10 +67,11 @@
             )
 
     def pages(self, rows: list[CatalogRow]) -> dict[str, list[CatalogRow]]:
-        """Returns the catalogue split into stored values, by key.
+        """Returns the catalogue split into values of limited size for the store, by key.
 
-        Nodes of the former version read the first value only, so it is as large as the present
-        limit allows until all nodes read the further ones.
+        Nodes of the former version read the first value only. Until all nodes read the further
+        ones, each value is therefore as large as the `value_kb` in force now allows, even if
+        smaller values are announced for later.
         """
         max_bytes = self.context.limits.value_bytes
         if not self.versions.all_read_parts:
--- a/runcourse/core/leader/demand.py
+++ b/runcourse/core/leader/demand.py
@@ -1,4 +1,7 @@
-"""Load reports of owners to the leader: waiting demand, and the load of the share's machines."""
+"""Load reports of owners to the leader: waiting tasks, and the load of the share's machines.
+
+An offering is a machine type in one zone, as a spot or as an on-demand machine.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,16 @@
 from ..scheduler import Scheduler
 
 Offering = tuple[str, str, bool]  # machine type, zone, spot
-LOAD_VALID_S = 5.0  # a load report is ignored when it is older
-LOAD_PAGE = 500  # machines in one message to the leader
-COUNT_ROUNDING = 1e-6  # tolerance when a sum of fractions of machines becomes a whole number
+# Older load reports say nothing about the waiting tasks of a share or whether its owner still
+# reports. The choice of a share for new machines and the surplus use reports of any age.
+LOAD_VALID_S = 5.0
+LOAD_PAGE = 500  # at most so many machines in one load report to the leader
+# Machines or tasks; rounding error allowed before a sum of fractions is rounded.
+COUNT_ROUNDING = 1e-6
 
 
 class _DemandKey(NamedTuple):
-    """Properties shared by tasks that may use the same machines."""
+    """Requirements of waiting tasks; tasks with equal requirements are reported in one entry."""
 
     size: Size
     rank: int
@@ -28,7 +34,7 @@
     types: tuple[str, ...] | None
     zone: str | None
     closed_zones: tuple[str, ...]
-    block: str  # the job, if it is a gang bound to one zone; otherwise empty
+    block: str  # id of the job if it is a gang that must run in one zone; otherwise empty
 
 
 class Demand:
@@ -51,15 +57,17 @@
         self.entry = entry
         self.size = Size(*entry.size)
         self.waiting = entry.waiting
-        self.hire = entry.hire  # tasks that machines are needed for
-        self.count = self.hire  # those still without a machine; reduced while planning
-        self.zone = entry.zone  # narrowed to one zone while planning
+        # Of `waiting`: tasks to provide machines for; short ones share a machine.
+        self.hire = entry.hire
+        self.count = self.hire  # of `hire`: tasks still without a machine; reduced during a plan
+        self.zone = entry.zone  # required zone, if any; set during a plan for a gang in one zone
         self.closed_zones = entry.closed_zones
-        # A gang bound to one zone: room for only some of its tasks in a zone is useless. Owners
-        # of the former version report no such demands.
+        # Whether this is a gang that must run in one zone: room for only some of its tasks in a
+        # zone is useless. Owners of the former version report no such demands.
         self.block = entry.block
-        self.room = entry.room  # tasks of the gang that fit already, by zone
-        # Tasks of the gang without a machine, by zone; set while planning.
+        # How many tasks of the gang fit on the share's machines now, by zone.
+        self.room = entry.room
+        # How many tasks of the gang would lack a machine if it ran in the zone; set during a plan.
         self.missing_by_zone: dict[str, int] = {}
 
     @property
@@ -96,7 +104,7 @@
 
 
 def accepts(demand: Demand, type_: str, zone: str, spot: bool) -> bool:
-    """Returns whether tasks of the demand may run on machines of that type, zone and kind."""
+    """Returns whether tasks of the demand may run on that offering; sizes are not compared."""
     return (
         (demand.types is None or type_ in demand.types)
         and (demand.zone is None or zone == demand.zone)
@@ -118,7 +126,7 @@
 
 
 def _room_by_zone(share: ShareNo, fleet: Fleet, size: Size, spot: bool) -> dict[str, int]:
-    """Returns how many tasks of that size fit on the share's machines now, by zone."""
+    """Returns how many tasks of that size fit on the share's usable machines now, by zone."""
     room: dict[str, int] = {}
     for machine in fleet.of_share(share).with_room(size):
         if (spot or not machine.record.spot) and fleet.usable(machine):
@@ -133,14 +141,15 @@
     def __init__(self, fleet: Fleet, share: ShareNo) -> None:
         self.fleet = fleet
         self.share = share
-        self._remaining: list[Machine] = []  # of the current round, in reverse order
+        # Machines not yet reported since the last full pass, in reverse order.
+        self._remaining: list[Machine] = []
 
     def all(self) -> list[Machine]:
         """Returns all machines; a leader of a former version needs them in one message."""
         return list(self.fleet.of_share(self.share))
 
     def next(self) -> list[Machine]:
-        """Returns the next page, which holds all machines if they fit."""
+        """Returns the next page; it holds all machines of the share if they fit one page."""
         if not self._remaining:
             self._remaining = self.all()
             self._remaining.reverse()
@@ -158,7 +167,7 @@
 ) -> ShareLoad:
     """Builds the load report of a share with some or all of its machines.
 
-    With `replicas` the report names the CPUs that services use as well.
+    With `replicas` the report also holds the CPUs that replicas of services use; otherwise 0.
     """
     owned = fleet.of_share(share)
     return ShareLoad(
@@ -186,7 +195,8 @@
     ages: dict[_DemandKey, float] = {}
     for job, count, closed_zones in scheduler.unmet.get(share, ()):
         spec = job.spec
-        # A gang bound to one zone has an entry of its own; a task already placed fixes the zone.
+        # A gang that must run in one zone has an entry of its own, as it needs machines in a
+        # single zone. `closed_zones` names only zones where tasks of the job are or were placed.
         block = job.uid if spec.gang and spec.together else ""
         key = _DemandKey(job.size, spec.rank, spec.spot, spec.types, spec.zone, closed_zones, block)
         counts = found.setdefault(key, [0, 0])
--- a/runcourse/core/leader/fleet_planner.py
+++ b/runcourse/core/leader/fleet_planner.py
@@ -1,4 +1,4 @@
-"""The leader's periodic plan: which machines to hire, return and move between shares."""
+"""The leader's periodic plan: which machines to hire, return and transfer between shares."""
 
 from __future__ import annotations
 
@@ -40,12 +40,13 @@
 from .transfers import MachineTransfers
 
 LOAD_EVERY_S = 0.25  # between two load reports to the leader
-PLAN_EVERY_S = 0.5
-PRUNE_EVERY_S = 30.0
-FAILED_BOOT_PAUSE_S = 10.0  # minimum pause of an offering whose machine did not come up
+PLAN_EVERY_S = 0.5  # between two plans of the leader
+PRUNE_EVERY_S = 30.0  # between two removals of machines without a record from the leader's state
+# Minimum pause in hiring an offering (type, zone, spot or not) whose machine did not come up.
+FAILED_BOOT_PAUSE_S = 10.0
 RETURN_RETRY_S = 3.0  # between two requests to return the same machine
 
-ExpectedMachines = dict[Offering, float]  # machines that are expected to come up
+ExpectedMachines = dict[Offering, float]  # number of machines booting, being hired or recorded
 
 
 class FleetPlanner:
@@ -104,7 +105,8 @@
         )
         self.spare_capacity = SpareCapacity(context, shares, fleet, self.loads, self.transfers)
         self.versions = versions
-        self._pages: dict[ShareNo, LoadPages] = {}  # of the shares owned here
+        # Machines of the shares owned here, split into load reports.
+        self._pages: dict[ShareNo, LoadPages] = {}
         self._last_plan_at = LONG_AGO
         self._last_load_at = LONG_AGO
         self._last_prune_at = context.now
@@ -113,7 +115,7 @@
     # --- periodic work -------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Reports the shares owned here to the leader, and plans if this node leads."""
+        """Reports the load of the shares owned here to the leader, and plans if this node leads."""
         now = self.context.now
         if not self.store.ready:
             return
@@ -198,9 +200,10 @@
         self.spare_capacity.return_surplus(idle, cpus)
 
     def _expected_machines(self) -> dict[ShareNo, ExpectedMachines]:
-        """Returns the machines that are coming up, by share and offering.
+        """Returns the number of booting machines that are not overdue, by share and offering.
 
-        Machines that don't come up within their limit are given up.
+        Machines that don't come up within
+        their limit are given up, if their owner has confirmed that it got no message.
         """
         now = self.context.now
         found: dict[ShareNo, ExpectedMachines] = {s: {} for s in self.shares.all()}
@@ -219,7 +222,7 @@
         return found
 
     def _give_up(self, id: MachineId, record: Record, type_: MachineType) -> None:
-        """Returns a machine that did not come up in time; hiring then replaces it."""
+        """Has the owner return a machine that did not come up in time; hiring then replaces it."""
         self.context.log("info", f"machine {id} did not come up, returned")
         self.hiring.note_refusal((record.type, record.zone, record.spot), FAILED_BOOT_PAUSE_S)
         self.transfers.send_to_owner(record.share, ReturnMachine(id))
@@ -229,7 +232,7 @@
         self.boot_times.forget(id)
 
     def _add_pending(self, expected: dict[ShareNo, ExpectedMachines]) -> None:
-        """Adds machines that are being hired or recorded, so that they are not hired twice."""
+        """Adds machines being hired or recorded to the expected ones, so none is hired twice."""
         for group, number in self.adoption.pending_groups().counts().items():
             of_share = expected[group.share]
             offering = (group.type, group.zone, group.spot)
@@ -247,7 +250,7 @@
     def _deduct_expected(
         self, demands: list[Demand], expected: dict[Offering, float]
     ) -> list[Demand]:
-        """Sets the count of each demand to what the expected machines of its share will not meet.
+        """Sets the count of each demand to the tasks for which no expected machine will have room.
 
         Only numbers of tasks are compared; which task goes to which machine is not decided here.
         """
@@ -268,9 +271,10 @@
         return demands
 
     def _deduct_for_gang(self, demand: Demand, left: dict[Offering, float]) -> None:
-        """Deducts the room free and expected in one zone from a gang's demand, by zone.
+        """Sets, by zone, how many tasks of a gang bound to one zone have no free or expected room.
 
-        If one zone meets all of it, the machines it needs there are taken from `left`.
+        If a zone has room for all of them, the count of the demand becomes 0 and the expected
+        machines that they need there are taken from `left`.
         """
         zones = {
             zone
--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -17,7 +17,7 @@
 
 
 class IdleMachine(NamedTuple):
-    """A machine on which nothing is placed, and for how many seconds."""
+    """A machine without tasks, and for how many seconds it has had none."""
 
     seconds: float
     id: MachineId
@@ -28,17 +28,19 @@
 
 
 class ExpectedMachine(NamedTuple):
-    """A recorded machine of which no message has been reported to the leader."""
+    """A machine with a record from which, as far as the leader knows, its owner got no message."""
 
-    since: Instant  # when its present record was seen, or the instant its wait counts from
-    confirmed: bool  # its owner reported that it got no message; False before that report
+    # Start of the wait: when its present record was seen, or as set by `restart_wait`.
+    since: Instant
+    confirmed: bool  # whether its owner has reported that it got no message
 
 
-ReceivedLoad = tuple[Instant, MachineLoad]  # an owner's report on a machine, and its arrival
+# When the leader received an owner's load of a machine, and the load.
+ReceivedLoad = tuple[Instant, MachineLoad]
 
 
 class FleetView:
-    """Indexes records and load reports while this node leads."""
+    """Indexes machines by their records and load reports while this node leads."""
 
     def __init__(self, context: Context, fleet: Fleet, boot_times: BootTimes) -> None:
         self.context = context
@@ -117,14 +119,14 @@
             self.boot_times.note_boot(id, type_)
 
     def restart_wait(self, id: MachineId, since: Instant) -> None:
-        """Counts the wait for the machine from that instant."""
+        """Sets the instant from which the wait for the machine counts."""
         if id in self.expected:
             self.expected[id] = ExpectedMachine(since, confirmed=True)
 
     # --- lookups -------------------------------------------------------------------------
 
     def last_load(self, id: MachineId) -> ReceivedLoad | None:
-        """Returns the last report of the machine's present owner on it, if any."""
+        """Returns the last load of the machine that its owner reported for its present record."""
         return self._last_loads.get(id)
 
     def idle_machines(self) -> IdleMachines:
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -1,4 +1,7 @@
-"""Hiring of machines for waiting tasks: choice of offerings, batched requests, and refusals."""
+"""Hiring of machines for waiting tasks: choice of offerings, batched requests, and refusals.
+
+An offering is a machine type in one zone, as a spot or as an on-demand machine.
+"""
 
 from __future__ import annotations
 
@@ -20,26 +23,28 @@
 from .pool import Pool
 
 MAX_HIRE = 50  # machines in one request, by the cloud's protocol
-MIN_REFUSAL_PAUSE_S = 4.0  # after the first refusal of an offering
-MAX_REFUSAL_PAUSE_S = 60.0
-REFUSAL_PAUSE_GROWTH = 2  # factor on the pause for each further refusal
-RETRY_HIRE_S = 1.0  # after a request that was throttled or whose outcome is unknown
-MIN_OPEN_HIRES = 2  # requests that may be open at once under any rate limit
-OPEN_HIRES_PER_RPS = 2  # requests open at once for each request per second of the rate limit
-SPOT_WAIT_BOOT_FRACTION = 0.5  # of a boot time that spot-capable tasks wait for a spot machine
+MIN_REFUSAL_PAUSE_S = 4.0  # without requests for an offering after its first refusal
+MAX_REFUSAL_PAUSE_S = 60.0  # upper bound of the pause, however often the offering is refused
+REFUSAL_PAUSE_GROWTH = 2  # factor by which the pause grows with each further refusal
+RETRY_HIRE_S = 1.0  # pause of an offering after a throttled request or one of unknown outcome
+MIN_OPEN_HIRES = 2  # requests without an answer that are allowed under any rate limit
+OPEN_HIRES_PER_RPS = 2  # unanswered requests allowed per request/s of the cloud's rate limit
+# Fraction of an on-demand machine's boot time for which spot-capable tasks wait for a spot machine
+# before it is hired for them.
+SPOT_WAIT_BOOT_FRACTION = 0.5
 
 
 class HireOption(NamedTuple):
     """An offering that may be hired for a task."""
 
-    price: float  # of the capacity that one task takes
+    price: float  # per task, with as many tasks of the demand on a machine as fit
     type: MachineType
     zone: str
     spot: bool
 
 
 class _HireGroup(NamedTuple):
-    """Machines of one type and kind wanted by a share, in any of the zones."""
+    """Machines of one type, all spot or all on-demand, that a share needs in any of the zones."""
 
     share: ShareNo
     type: str
@@ -48,7 +53,7 @@
 
 
 def _interleave(shares: list[ShareNo]) -> list[ShareNo]:
-    """Reorders the list so that each prefix holds every share in proportion to its number."""
+    """Reorders the list so that each prefix holds the shares in about the ratio of the whole."""
     number = Counter(shares)
     seen: Counter[ShareNo] = Counter()
     ranked = []
@@ -78,7 +83,7 @@
         self.adoption = adoption
         self.boot_times = boot_times
         self.pool = pool
-        # For each refused offering, the length of its pause and when the pause ends.
+        # For each refused offering, the length of its pause in seconds and when the pause ends.
         self.refused: dict[Offering, tuple[float, Instant]] = {}
         self._request_count = 0
         self._open_requests: dict[str, tuple[Rent, list[ShareNo]]] = {}
@@ -92,7 +97,7 @@
         ]
 
     def note_refusal(self, offering: Offering, min_pause_s: float = MIN_REFUSAL_PAUSE_S) -> None:
-        """Pauses an offering that has no machines now, longer after each further refusal."""
+        """Pauses requests for an offering, longer after each further refusal."""
         pause = min(
             MAX_REFUSAL_PAUSE_S,
             max(
@@ -103,7 +108,7 @@
         self.refused[offering] = (pause, Instant(self.context.now + pause))
 
     def _options(self, demand: Demand) -> list[HireOption]:
-        """Returns the offerings that may be hired for the demand now."""
+        """Returns the offerings that may be hired for the demand now, with the price per task."""
         now = self.context.now
         options: list[HireOption] = []
         for type_ in self.fleet.types.values():
@@ -114,7 +119,8 @@
                 for spot in (False, True):
                     if not accepts(demand, type_.name, zone, spot):
                         continue
-                    # On-demand machines for spot-capable tasks only after the tasks have waited.
+                    # An on-demand machine is hired for spot-capable tasks only if the oldest has
+                    # waited for a part of the machine's boot time.
                     if (
                         demand.spot
                         and not spot
@@ -128,7 +134,7 @@
         return options
 
     def hire_for(self, unmet: dict[ShareNo, list[Demand]]) -> None:
-        """Hires machines for the unmet demands of all shares.
+        """Hires machines for waiting tasks that no expected or transferred machine has room for.
 
         Demands are combined into few requests, because the cloud limits their rate.
         """
@@ -137,7 +143,7 @@
             MIN_OPEN_HIRES, round(OPEN_HIRES_PER_RPS * self.context.platform.settings.cloud.rps)
         )
         for offering, shares in sorted(hires.items(), key=lambda h: -len(h[1])):
-            # Interleaved, so that each share gets its part if fewer machines are granted.
+            # Interleaved, so that each share gets its part if the cloud provides fewer machines.
             shares = _interleave(shares)
             for start in range(0, len(shares), MAX_HIRE):
                 if len(self._open_requests) >= max_open:
@@ -145,7 +151,7 @@
                 self._hire(offering, shares[start : start + MAX_HIRE])
 
     def _wanted(self, unmet: dict[ShareNo, list[Demand]]) -> dict[_HireGroup, float]:
-        """Returns how many machines each share needs, by type, kind and acceptable zones."""
+        """Returns how many machines to hire, by share, type, spot or not, and acceptable zones."""
         wanted: dict[_HireGroup, float] = {}
         for share, demands in unmet.items():
             for demand in demands:
@@ -167,12 +173,12 @@
         return wanted
 
     def _by_offering(self, wanted: dict[_HireGroup, float]) -> dict[Offering, list[ShareNo]]:
-        """Returns the offerings to hire, each with the share of every machine."""
+        """Returns the offerings to hire; each maps to a list with one share for each machine."""
         counts = self.fleet.groups.by_zone()
         hires: dict[Offering, list[ShareNo]] = {}
         for (share, name, spot, zones), machines in sorted(wanted.items()):
             for _ in range(math.ceil(machines - COUNT_ROUNDING)):
-                # Zones are balanced within the share, so that its replicas can be spread.
+                # The share's machines are balanced over zones, so that replicas can be spread.
                 zone = min(zones, key=lambda z: (counts[share, z, spot], z))
                 counts[share, zone, spot] += 1
                 hires.setdefault((name, zone, spot), []).append(share)
@@ -181,10 +187,10 @@
     def _restrict_to_zone(
         self, share: ShareNo, demand: Demand, options: list[HireOption]
     ) -> list[HireOption]:
-        """Restricts a gang's demand and options to one zone.
+        """Restricts the demand and the options of a gang that must run in one zone to one zone.
 
-        It is the zone where the gang lacks the fewest machines, then the one where the share has
-        the fewest.
+        It is the zone where the fewest tasks of the gang lack a machine, and among equal ones that
+        where the share has the fewest machines.
         """
         counts: Counter[str] = Counter()
         for group, number in self.fleet.groups.counts().items():
@@ -230,7 +236,8 @@
         elif outcome.status == 503:
             self.note_refusal(offering)
         else:
-            # Throttled, or of unknown outcome: machines hired nevertheless appear in the list.
+            # The request was throttled, or its outcome is unknown: machines that were hired
+            # nevertheless appear in the cloud's list. The length of the pause doesn't grow.
             self.refused[offering] = (
                 self.refused.get(offering, (0.0, START))[0],
                 later(self.context.now, RETRY_HIRE_S),
--- a/runcourse/core/leader/inventory.py
+++ b/runcourse/core/leader/inventory.py
@@ -1,6 +1,7 @@
 """Inventory of the fleet: the cloud's list, unrecorded machines, and returned machines.
 
-Only the leader changes any of it.
+A machine's record is its entry in the store. When the machine is gone, a marker replaces the
+record. In this module only the leader changes either.
 """
 
 from __future__ import annotations
@@ -38,20 +39,20 @@
 from .demand import LOAD_VALID_S, LoadReport
 from .fleet_view import FleetView
 
-MAX_RELEASE = 100  # machines in one request, by the cloud's protocol
-LIST_PAGE = 500  # machines in one page of the list, by the cloud's protocol
+MAX_RELEASE = 100  # machines in one request to return them, by the cloud's protocol
+LIST_PAGE = 500  # machines in one page of the cloud's list, by its protocol
 LIST_RATE_FRACTION = 0.25  # of the cloud's rate limit, used at most for reading the list
-MIN_LIST_EVERY_S = 3.0  # between two readings
-LISTS_PER_LAG = 2  # readings of the list within the time by which it may lag
-STALE_LIST_LAGS = 2  # a list is older than the one before it by at most this many lags
-STALE_LIST_SLACK_S = 1.0
-GONE_IDS_PER_MACHINE = 4  # ids of returned machines kept in the store, per machine of the fleet
-MIN_FLEET_FOR_GONE_IDS = 250  # smaller fleets keep as many ids as one of this size
-FORGOTTEN_PER_ADDED = 2  # ids forgotten for each id added, beyond one transaction of them
+MIN_LIST_EVERY_S = 3.0  # between two readings of the list
+LISTS_PER_LAG = 2  # readings of the list within the time by which it may be out of date
+STALE_LIST_LAGS = 2  # times `list_lag_s`: a list is older than the one before by at most this
+STALE_LIST_SLACK_S = 1.0  # added to that time
+GONE_IDS_PER_MACHINE = 4  # ids of gone machines kept in the store, per machine of the largest fleet
+MIN_FLEET_FOR_GONE_IDS = 250  # machines; a smaller fleet keeps as many ids as one of this size
+FORGOTTEN_PER_ADDED = 2  # ids deleted per id added, besides one transaction of deletions
 
 
 class Inventory:
-    """Keeps the records in step with the machines that the cloud has provided."""
+    """Records the machines that the cloud has provided, and marks those that are gone."""
 
     def __init__(
         self,
@@ -74,26 +75,29 @@
         self.leading = leading
         self.leader = leader
         self.guard = guard
-        self.largest_fleet = 0  # highest number of machines so far
-        self._releasing: set[MachineId] = set()
-        self._listed_now: set[MachineId] = set()  # in the newest list
+        self.largest_fleet = 0  # highest number of recorded machines in any plan of this node
+        self._releasing: set[MachineId] = set()  # in a request to return them, without an answer
+        self._listed_now: set[MachineId] = set()  # machines in the newest list of the cloud
         self._probing: set[MachineId] = set()  # unknown machines whose workers are being probed
-        # A whole unknown fleet may report at once. A worker that is not probed reports again.
+        # Bounds open probes: all workers of an unknown fleet may report at once. A worker that is
+        # not probed now reports again.
         self._max_probes = context.platform.settings.quota.sockets(len(context.members)).probes
         self._drops_to_retry: list[MachineId] = []
         self._first_listed: dict[MachineId, Instant] = {}
-        # Machines that were listed before and are no longer, with the first list without them.
+        # Machines that were listed before and are no longer, with the instant at which the reading
+        # of the first list without them began.
         self._missing_since: dict[MachineId, Instant] = {}
         self._last_list_at = LONG_AGO
         self._listing = False
 
     def begin(self) -> None:
-        """Starts anew when leadership begins; lists read by an earlier one are outdated."""
+        """Forgets when machines were first listed and first missing: the lists of an earlier
+        leadership are outdated."""
         self._first_listed.clear()
         self._missing_since.clear()
 
     def tick(self) -> None:
-        """Reads the cloud's list when it is due."""
+        """Reads the cloud's list of machines when the interval since the last reading is over."""
         if not self._listing and self.context.now >= self._last_list_at + self._list_every_s():
             self._read_list()
 
@@ -112,7 +116,7 @@
         )
 
     def prune(self) -> None:
-        """Forgets returned machines whose records are replaced by markers."""
+        """Drops machines from `Adoption.returned` that have a marker in the store by now."""
         self.adoption.returned -= self.fleet.removed_ids
 
     def _read_list(self) -> None:
@@ -153,8 +157,9 @@
             if id in present:
                 self._missing_since.pop(id, None)
             elif began > first + STALE_LIST_LAGS * lag + STALE_LIST_SLACK_S:
-                # Lists may be even older than that, so a single one doesn't prove that a machine
-                # is gone. Nor do several if a message of the machine is newer than they may be.
+                # Lists may be even older than that, so a single one without the machine doesn't
+                # prove that it is gone. Nor do several lists if its owner got a message of it since
+                # the first of them.
                 missing = self._missing_since.setdefault(id, began)
                 if began < missing + lag or self._may_still_exist(id, missing):
                     continue
@@ -185,8 +190,8 @@
     def _drop_records(self, ids: list[MachineId]) -> None:
         """Replaces the records of machines that are surely gone by markers.
 
-        Their ids stay in the store, so that late copies of their reports don't bring them back
-        under any later leader.
+        The markers keep their ids in the store, so that late copies of their reports don't make
+        any later leader record them again.
         """
         if not self.leading():
             return
@@ -201,7 +206,7 @@
         self._forget_gone(len(ids))
 
     def _forget_gone(self, added: int) -> None:
-        """Bounds the stored ids of returned machines by forgetting more of them than were added."""
+        """Deletes the oldest ids of gone machines if too many are stored, more than were added."""
         surplus = len(self.fleet.removed_ids) - GONE_IDS_PER_MACHINE * max(
             self.largest_fleet, MIN_FLEET_FOR_GONE_IDS
         )
@@ -237,8 +242,9 @@
     def handle_unknown_report(self, report: Report) -> None:
         """Handles a worker's report whose machine has no record.
 
-        The machine may come from a late hire or an old fleet, or the report may be a late copy
-        from a machine that is gone. Nodes that don't lead pass it on to the leader.
+        The machine may come from a hire whose answer was late or lost or from an old fleet, or the
+        report may be a late copy from a machine that is gone. Nodes that don't lead send the
+        machine's description to the leader.
         """
         if report.machine in self.fleet.removed_ids:
             return
@@ -283,7 +289,7 @@
             self.context.emit(Probe(done, addr))
 
     def release_leaving(self) -> None:
-        """Returns machines marked as leaving to the cloud, and retries failed record drops."""
+        """Returns machines marked as leaving to the cloud, and retries failed writes of markers."""
         ids, self._drops_to_retry = self._drops_to_retry, []
         self._drop_records(ids)
         leaving = [
--- a/runcourse/core/leader/leadership.py
+++ b/runcourse/core/leader/leadership.py
@@ -1,4 +1,4 @@
-"""Election of the leader by a leased key that names it."""
+"""Election of the leader: it holds the leader key of the store, which expires with its lease."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Leadership:
-    """Claims the leader key when no node holds it, and reads which node does."""
+    """Claims the leader key if no node holds it, and reads which node holds it."""
 
     def __init__(self, context: Context, store: Store, authority: Authority) -> None:
         self.context = context
@@ -64,5 +64,6 @@
         )
 
     def guard(self) -> Condition:
-        """Returns the condition under which late changes of a former leader fail."""
+        """Returns the condition that the leader key is unchanged, so that a former leader's late
+        changes fail."""
         return self.store.expect(LEADER)
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -16,7 +16,11 @@
 
 
 class Pool:
-    """Passes the pool's state to the policy before each plan, and applies precedence."""
+    """Passes the state of the machines to the policy before each plan, and applies precedence.
+
+    A plan is one round of the leader's decisions on hires, returns and transfers. Precedence means
+    that organisations below their target are served before those that have reached theirs.
+    """
 
     def __init__(
         self,
@@ -30,9 +34,10 @@
         self.loads = loads
         self.policy = policy
         self.largest_machine_cpus = 0.0  # CPUs of the largest recorded machine
-        # Unmet demands of organisations that are short of their targets: they take precedence.
+        # Waiting tasks of organisations that are below their targets: they take precedence.
         self._priority_demands: list[tuple[ShareNo, Demand]] = []
-        self._offerings: Counter[Offering] = Counter()  # recorded machines that are not leaving
+        # Number of recorded machines, by type, zone and spot, without those that are leaving.
+        self._offerings: Counter[Offering] = Counter()
 
     def capacity(self) -> float:
         """Returns the CPUs of all recorded machines that are not leaving."""
@@ -97,8 +102,8 @@
     def must_wait(self, share: ShareNo, type_: str, zone: str, spot: bool) -> bool:
         """Returns whether the share must leave such a machine to another organisation.
 
-        That is so if its own organisation holds all it is entitled to, and another one that is
-        short of its target has waiting tasks that could use the machine.
+        That is so if its own organisation holds at least its target, and another one that is below
+        its target has waiting tasks that could use the machine.
         """
         return (
             bool(self._priority_demands)
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -1,4 +1,9 @@
-"""The leader's requests to owners to hand machines over to shares that need them more."""
+"""The leader's requests to owners to transfer machines to shares that need them more.
+
+The giver is the share that has a machine, the taker the share that is to get it. An empty machine
+is transferred at once. A vacated one has its tasks stopped first, and a yielded one takes no new
+tasks and is transferred when those on it have ended.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +25,14 @@
 from .transfers import VACATE_TIMEOUT_S, MachineTransfers
 
 MIN_IDLE_S = 1.0  # a machine is transferred only after being empty this long
-VACATE_AFTER_S = 2.0  # tasks that may not use spot machines wait this long for an empty machine
+# Tasks that may not use spot machines wait this long for an empty machine before tasks of other
+# shares are stopped for them.
+VACATE_AFTER_S = 2.0
 VACATE_EVERY_S = 1.0  # between two rounds of vacate requests
-MACHINES_PER_VACATE = 1_000  # recorded machines for each request in a round beyond the first
+MACHINES_PER_VACATE = 1_000  # a round has one request, and one more per so many recorded machines
 YIELD_EVERY_S = 2.0  # between two rounds of yield requests
-YIELD_IMBALANCE_FACTOR = 1.5  # between the demand per CPU of two shares, for one to yield
+# A share is asked to yield if the taker's demand per CPU is at least this many times its own.
+YIELD_IMBALANCE_FACTOR = 1.5
 
 
 class ShareBalancer:
@@ -52,7 +60,7 @@
         self._next_yield_at = context.now
         # Vacate requests for other organisations: when each was sent, and for which share.
         self._vacate_requests: deque[tuple[Instant, ShareNo]] = deque()
-        self._demand_index = 0  # selects in turn which demand of a share is sent to owners
+        self._demand_index = 0  # round number; selects in turn which demand of a taker is sent
 
     def request_transfers(
         self,
@@ -96,7 +104,7 @@
 
     def _is_entitled(self, giver: ShareNo, taker: ShareNo, incoming_cpus: float = 0.0) -> bool:
         """Returns whether the taker's organisation is below its target, also with `incoming_cpus`,
-        while another organisation, the giver's, holds at least its own."""
+        while the giver serves another organisation, which holds at least its own target."""
         return (
             self.policy.in_force
             and not self.policy.same_organisation(giver, taker)
@@ -109,9 +117,9 @@
     ) -> bool:
         """Returns whether the machine may be transferred from the giver to the taker.
 
-        A machine that the giver's waiting tasks can't use is lent to any share, first to those
-        short of their target. Any other machine is transferred only if the taker's organisation
-        is entitled to it.
+        A machine that the giver's waiting tasks can't use may go to any share, unless it must be
+        left to an organisation below its target. Any other machine is transferred only if the
+        policy lets the taker's organisation take it.
         """
         if not self._has_demand_for(giver, record, unmet):
             return not self.pool.must_wait(taker, record.type, record.zone, record.spot)
@@ -135,9 +143,9 @@
         others: list[ShareNo],
         idle: IdleMachines,
     ) -> bool:
-        """Restricts the demand of a gang to a zone whose empty machines meet all of it.
+        """Restricts the demand of a gang to a zone where empty machines have room for all of it.
 
-        Returns whether there is such a zone; without one no machine is transferred.
+        Returns whether there is such a zone; without one no machine is transferred to the gang.
         """
         room_by_zone: dict[str, int] = {}
         for other in others:
@@ -157,10 +165,10 @@
         return True
 
     def request_vacates(self, unmet: dict[ShareNo, list[Demand]]) -> None:
-        """Asks owners to stop lower-ranked work for tasks that may not use spot machines.
+        """Asks owners to stop less urgent tasks for waiting ones that may not use spot machines.
 
-        Within a share the scheduler preempts such work. A busy machine of another share never
-        falls empty by itself while arrays wait there.
+        Within a share the scheduler preempts less urgent tasks. A busy machine of another share
+        never becomes empty by itself while array tasks wait there.
         """
         now = self.context.now
         if now < self._next_vacate_at:
@@ -205,8 +213,9 @@
     def _may_vacate(self, giver: ShareNo, taker: ShareNo) -> bool:
         """Returns whether the giver may be asked to stop work for the taker.
 
-        Between organisations machines are vacated only for an entitled taker, and never by an owner
-        of a former version, which would stop replicas too.
+        Between organisations it may only if the taker's is below its target and the giver's is
+        not, and if the giver's owner runs a version that knows divisions: an older one would stop
+        replicas of services too.
         """
         if self.policy.same_organisation(giver, taker):
             return True
@@ -218,9 +227,11 @@
         )
 
     def _incoming_cpus(self, taker: ShareNo) -> float:
-        """Returns the CPUs that owners were recently asked to vacate for the taker's organisation.
+        """Returns the CPUs that other organisations were recently asked to vacate for the taker's.
+
+        Each request counts as a machine of the largest recorded type, until its timeout.
 
-        They count as held, so that no more work is stopped for the same demand meanwhile.
+        The CPUs count as held, so that no more tasks are stopped for the same demand meanwhile.
         """
         while (
             self._vacate_requests
@@ -241,10 +252,10 @@
         )
 
     def request_yields(self, cpus: dict[ShareNo, float]) -> None:
-        """Asks owners to hand over machines in use as they fall empty; `cpus`: of each share.
+        """Asks owners to transfer machines in use as they become empty; `cpus`: of each share.
 
-        Machines that other organisations are entitled to are requested first. Among the shares of
-        one organisation they go to the share that needs them most.
+        Machines for other organisations that are below their target are requested first. Then the
+        shares of each organisation are balanced: they go to the share that needs them most.
         """
         now = self.context.now
         if now < self._next_yield_at:
@@ -256,7 +267,7 @@
             self._next_yield_at = Instant(now + YIELD_EVERY_S)
 
     def _shares_by_organisation(self) -> list[list[ShareNo]]:
-        """Returns the shares grouped by organisation; one group while none are in force."""
+        """Returns the shares by organisation; all in one group while the policy is not in force."""
         groups: list[list[ShareNo]] = []
         for share in self.shares.all():
             for group in groups:
@@ -270,8 +281,9 @@
     def _balance_within(self, cpus: dict[ShareNo, float]) -> bool:
         """Asks the share with most CPUs for its demand to yield some to the one with fewest.
 
-        Demand is what waits and runs. While all shares are short no machine falls empty by
-        itself. Returns whether demand exceeded capacity, so that there was something to balance.
+        Demand is the CPUs of waiting tasks and those in use. While all shares have waiting tasks
+        no machine becomes empty by itself. Returns whether demand exceeded capacity, so that there
+        was something to balance.
         """
         now = self.context.now
         cpus_in_demand = {
@@ -295,7 +307,7 @@
             and cpus_in_demand[taker] * cpus[giver]
             >= YIELD_IMBALANCE_FACTOR * cpus_in_demand[giver] * cpus[taker]
         ):
-            # Only half of the difference: demand changes while machines fall empty.
+            # Only half of the difference is requested: demand changes until machines are empty.
             half = min(deficits[taker], -deficits[giver]) / 2
             self.transfers.send_to_owner(giver, YieldMachines(giver, taker, half, demand.entry))
         return True
--- a/runcourse/core/leader/spare_capacity.py
+++ b/runcourse/core/leader/spare_capacity.py
@@ -1,4 +1,4 @@
-"""Spare capacity: which empty machines are returned, and which are kept."""
+"""Spare capacity: which empty machines are returned to the cloud, and which are kept."""
 
 from __future__ import annotations
 
@@ -17,16 +17,20 @@
 
 FLEET_LOG_EVERY_S = 30.0  # between two log lines on the whole fleet
 MIN_PAID_S = 60.0  # a machine is paid for this long even if it is returned earlier
-IDLE_BOOT_FRACTION = 0.5  # of its boot time that a machine stays empty at the least
-MAX_IDLE_S = 45.0
-DRAIN_EVERY_S = 4.0
-DRAIN_SURPLUS = 1.5  # surplus that triggers draining, in machines of the largest type
-DRAIN_SLACK = 1.25  # unused capacity of the share that drains, in the same unit
-DRAIN_FRACTION = 1 / 8  # of the surplus, drained at once: one by one takes too long if it is large
+# A machine is kept empty for this fraction of its boot time, or until its minimum paid time is over
+# if that is longer, but at most for MAX_IDLE_S.
+IDLE_BOOT_FRACTION = 0.5
+MAX_IDLE_S = 45.0  # upper bound of the time for which a machine in surplus is kept empty
+DRAIN_EVERY_S = 4.0  # between two requests to drain machines
+DRAIN_SURPLUS = 1.5  # least surplus at which machines are drained, in machines of the largest type
+DRAIN_SLACK = 1.25  # a share drains only with more unused capacity than this, in the same unit
+# Fraction of the surplus drained per request: one by one takes too long if the surplus is large.
+DRAIN_FRACTION = 1 / 8
 
 
 class SpareCapacity:
-    """Returns machines that stay empty; drains some of a surplus if no machine is empty."""
+    """Returns machines that stay empty; has busy ones drained if there is a surplus without empty
+    machines. A drained machine takes no new tasks, so that it becomes empty."""
 
     def __init__(
         self,
@@ -50,7 +54,7 @@
         self._demand_samples.clear()
 
     def return_surplus(self, idle: IdleMachines, cpus: dict[ShareNo, float]) -> None:
-        """Returns machines that stay empty beyond the recent peak of demand plus headroom.
+        """Returns empty machines that exceed the recent peak of demand times the headroom.
 
         `cpus` holds the capacity of each share and is reduced by what is returned. If no machine
         is empty, some may be drained.
@@ -81,7 +85,7 @@
             self._drain(capacity, keep, cpus)
 
     def _peak_demand_cpus(self) -> float:
-        """Returns the highest demand within the peak window, times the operators' headroom."""
+        """Returns the CPUs to keep: the highest demand of the `peak_window`, times `headroom`."""
         now = self.context.now
         self._demand_samples.append((now, self._demand_cpus()))
         while (
@@ -98,7 +102,7 @@
         )
 
     def _idle_limit_s(self, type_: MachineType) -> float:
-        """Returns how long a machine may be empty before it is returned.
+        """Returns the seconds for which a machine may be empty before it is returned.
 
         Replacing it costs another boot, and a machine is paid for a minimum time anyway.
         """
@@ -121,7 +125,9 @@
         return load.used if load else 0.0
 
     def _largest_tasks(self) -> dict[ShareNo, float]:
-        """Returns the CPUs of the largest open task of each share, which the share keeps free.
+        """Returns for each share the CPUs of the largest task of its unfinished jobs.
+
+        The share keeps as many CPUs unused.
 
         Without that room, the next replica within its team's guarantee would preempt a task of
         another team.
@@ -133,7 +139,7 @@
         return largest
 
     def _drain(self, capacity: float, keep: float, cpus: dict[ShareNo, float]) -> None:
-        """Asks the share with most unused capacity to drain machines if capacity is in surplus.
+        """Asks the share with most unused CPUs to drain machines if there is a surplus.
 
         It is called when no machine is empty.
         """
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -28,28 +28,32 @@
 from ..types import Condition, SendToPeer, Write
 from .demand import Demand, accepts
 
-VACATE_TIMEOUT_S = 15.0  # for a vacated machine to fall empty
-MAX_CHANGE_BACKLOG_S = 0.3  # open record changes, in seconds of the write budget
-CLAIM_TIMEOUT_S = 4.0  # for the leader to request an empty machine for another organisation
-YIELD_TIMEOUT_S = 45.0  # for a yielded machine to fall empty
-RETRY_EVERY_S = 0.3  # between two rounds of retries of record changes
+VACATE_TIMEOUT_S = 15.0  # for a machine to become empty whose tasks are stopped for another share
+# Bounds the record changes without a result to those that the write budget allows in this time.
+MAX_CHANGE_BACKLOG_S = 0.3
+# For the leader to request a machine that is kept empty for another organisation.
+CLAIM_TIMEOUT_S = 4.0
+# For a yielded machine, which takes no new tasks, to become empty; also the pause before it may be
+# reserved for another organisation again if it did not.
+YIELD_TIMEOUT_S = 45.0
+RETRY_EVERY_S = 0.3  # between two retries of all record changes that failed
 
 
 class PendingTransfer(NamedTuple):
-    """A machine to be transferred to another share if it falls empty in time.
+    """A machine to be transferred to another share if it becomes empty in time.
 
-    Between organisations the owner only lets it fall empty: entitlements may change meanwhile, so
+    Between organisations the owner only lets it become empty: entitlements may change meanwhile, so
     the leader requests the empty machine if the other organisation is still entitled to it.
     """
 
     to: ShareNo
     since: Instant
     until: Instant
-    entitled: bool  # whether it goes to another organisation
+    entitled: bool  # whether it is for another organisation, which is entitled to it
 
 
 class MachineTransfers:
-    """Carries out the leader's requests to an owner."""
+    """Carries out the leader's requests to the owner of a share on the share's machines."""
 
     def __init__(
         self, context: Context, store: Store, shares: Shares, fleet: Fleet, scheduler: Scheduler
@@ -63,17 +67,18 @@
         self._next_retry_at = Instant(0.0)
         self._open_changes = 0  # record changes without a result
         self._pending: dict[MachineId, PendingTransfer] = {}
-        # Machines that did not fall empty in time, and when they may be yielded again.
+        # Machines that did not become empty for another organisation in time, and from when on
+        # they may be reserved for one again.
         self._cooldowns: dict[MachineId, Instant] = {}
 
     def tick(self) -> None:
-        """Returns silent machines, processes pending transfers and retries record changes."""
+        """Returns silent and unreachable machines, processes transfers, retries record changes."""
         self._return_silent()
         self._process_pending()
         self._retry()
 
     def handle(self, request: MachineRequest) -> None:
-        """Handles a request of the leader, or the machine state sent by a former owner."""
+        """Handles a request of the leader, or a machine's state sent by its former owner."""
         match request:
             case TransferredState():
                 self.fleet.accept_transferred_state(request)
@@ -96,9 +101,9 @@
                     self.change_record(machine, share=request.share)
 
     def _releasable(self, id: MachineId) -> Machine | None:
-        """Returns the machine if it may leave its share or the fleet now.
+        """Returns the machine if it may leave its share or the fleet now, otherwise None.
 
-        It may not while the write budget has no room for the change. The leader asks again, and
+        It may not while too many record changes are without a result. The leader asks again, and
         until then the machine remains usable.
         """
         machine = self.fleet.machines.get(id)
@@ -120,7 +125,7 @@
         return to != share and 0 <= to < len(self.context.members)
 
     def change_record(self, machine: Machine, **changes: Any) -> None:
-        """Stores a new share or the leaving mark; no task is placed on the machine from now on."""
+        """Stores a new share or the leaving mark; no task is placed there until the result."""
         machine.moving = True
         self._open_changes += 1
         record = machine.record
@@ -146,10 +151,12 @@
                 if "share" in changes:
                     self.send_to_owner(changes["share"], state)
             elif result is CommitResult.CONFLICT:
-                # An earlier attempt may have been applied: read before placing anything there.
+                # An earlier attempt may have been applied: the record is read again before a task
+                # is placed on the machine.
                 self.store.sync(checked)
             else:
-                # It may still be applied. Only an answer shows which share has the machine.
+                # The change may still be applied. Only the answer to a further attempt shows which
+                # share has the machine.
                 self._retries.append(attempt)
 
         def checked(ok: bool) -> None:
@@ -169,13 +176,13 @@
                 attempt()
 
     def _process_pending(self) -> None:
-        """Transfers pending machines that are empty, and reopens those that are not transferred."""
+        """Transfers pending machines that are empty, and reopens expired ones to new tasks."""
         for id, transfer in list(self._pending.items()):
             machine = self.fleet.machines.get(id)
             if machine is None or self.context.now > transfer.until:
                 del self._pending[id]
                 if transfer.entitled and machine is not None:
-                    # Without a cooldown the machine could be closed to new work again and again,
+                    # Without a cooldown the machine could be closed to new tasks again and again,
                     # and waiting tasks that need its room would never start.
                     self._cooldowns[id] = Instant(self.context.now + YIELD_TIMEOUT_S)
                     machine.draining_until = self.context.now
@@ -186,7 +193,7 @@
                 self.change_record(machine, share=transfer.to)
             elif self._claim_expired(machine, transfer):
                 del self._pending[id]
-                machine.draining_until = self.context.now  # no longer claimed
+                machine.draining_until = self.context.now  # takes new tasks again
 
     def _claim_expired(self, machine: Machine, transfer: PendingTransfer) -> bool:
         """Returns whether the machine has been empty for so long without a request of the leader
@@ -195,9 +202,10 @@
         return empty is not None and self.context.now > max(empty, transfer.since) + CLAIM_TIMEOUT_S
 
     def _yield(self, request: YieldMachines) -> None:
-        """Schedules transfers of machines as they fall empty, up to the requested CPUs.
+        """Schedules transfers of machines as they become empty, up to about the requested CPUs.
 
-        Transfers to the same share that are already pending count towards the CPUs.
+        Machines with replicas of services are left out. Transfers to the same share that are
+        already pending count towards the CPUs.
         """
         share, to, demand = request.share, request.to, Demand(request.need)
         if not self.shares.may_command(share) or not self._is_other_share(share, to):
@@ -225,25 +233,26 @@
                 self._schedule(machine, to, YIELD_TIMEOUT_S, request.entitled)
 
     def _schedule(self, machine: Machine, to: ShareNo, seconds: float, entitled: bool) -> None:
-        """Schedules a transfer; no task is placed on the machine until it is empty or timed out."""
+        """Schedules a transfer; no task is placed on the machine until it is made or expires."""
         now = self.context.now
         machine.draining_until = max(machine.draining_until, Instant(now + seconds))
         self._pending[machine.id] = PendingTransfer(to, now, Instant(now + seconds), entitled)
 
     def _cooling_down(self) -> Collection[MachineId]:
-        """Returns the machines whose cooldown is not over."""
+        """Returns the machines that may not be reserved for another organisation again yet."""
         now = self.context.now
         for id in [id for id, until in self._cooldowns.items() if now >= until]:
             del self._cooldowns[id]
         return self._cooldowns
 
     def _vacate(self, request: VacateMachine) -> None:
-        """Stops all tasks of one machine for more urgent tasks of another share."""
+        """Stops all tasks of one machine, if they are less urgent than the waiting ones of `to`."""
         share, to, demand = request.share, request.to, Demand(request.need)
         if not self.shares.may_command(share) or not self._is_other_share(share, to):
             return
         unmet = self.scheduler.unmet.get(share, ())
-        # Tasks that wait here have no claim on a machine that another organisation is entitled to.
+        # Tasks of this share that wait and are as urgent keep the machine, unless another
+        # organisation is entitled to it.
         if not request.entitled and any(job.spec.rank <= demand.rank for job, _, _ in unmet):
             return
         machine = self.scheduler.draining.vacate(
@@ -260,10 +269,10 @@
             self._schedule(machine, to, VACATE_TIMEOUT_S, request.entitled)
 
     def _return_silent(self) -> None:
-        """Returns machines that are silent well beyond their report interval.
+        """Marks machines to be returned that are silent, or not reached, for too long.
 
-        Once the cloud confirms, their tasks are surely stopped and may start elsewhere before the
-        workers' leases end.
+        The limit is `Fleet.silence_limit_s`. Once the cloud confirms the return, their tasks are
+        surely stopped and may start elsewhere before the workers' leases end.
         """
         now = self.context.now
         limit = self.fleet.silence_limit_s()
@@ -277,8 +286,8 @@
                 if m.last_message_at >= 0 or m.record.stamp <= owned_share.epoch
             }
             found |= {m.id: m for m in machines.suspected() if self.fleet.unreached_s(m) > limit}
-            # If most machines are silent, this node is more likely cut off itself. Their leases
-            # end anyway, because their reports are not answered.
+            # If more than half of the machines are silent, this node is more likely cut off itself.
+            # The workers' leases end anyway, because their reports are not answered.
             if len(found) > max(1, machines.count_ever_seen(owned_share.epoch) // 2):
                 continue
             for machine in found.values():
--- a/runcourse/entitlements/__init__.py
+++ b/runcourse/entitlements/__init__.py
@@ -1,1 +1,1 @@
-"""Entitlements: divides one pool of machines among organisations, adjustable at run time."""
+"""Entitlements: how machines are divided among organisations, adjustable at run time."""
--- a/runcourse/entitlements/fairshare.py
+++ b/runcourse/entitlements/fairshare.py
@@ -37,7 +37,7 @@
 
 
 class _Range(NamedTuple):
-    """Bounds of one allocation during the filling."""
+    """Lower and upper bound of one allocation in CPUs, and the weight with which it grows."""
 
     name: str
     floor: Fraction
@@ -45,7 +45,7 @@
     weight: Fraction
 
     def at(self, level: Fraction) -> Fraction:
-        """Returns the allocation at a level, in CPUs per unit of weight."""
+        """Returns the allocation in CPUs at a level, which is in CPUs per unit of weight."""
         return min(max(level * self.weight, self.floor), self.ceiling)
 
 
@@ -66,7 +66,7 @@
 
 
 def _fill(capacity: Fraction, ranges: Sequence[_Range]) -> dict[str, Fraction]:
-    """Raises the level until the capacity is used or every ceiling is reached."""
+    """Returns the allocations that use up the capacity, or the ceilings if all of them fit."""
     if sum((r.ceiling for r in ranges), ZERO) <= capacity:
         return {r.name: r.ceiling for r in ranges}
     level = _level(capacity, ranges)
--- a/runcourse/entitlements/limits.py
+++ b/runcourse/entitlements/limits.py
@@ -1,4 +1,7 @@
-"""Validation of a division: every organisation exactly once, with consistent limits."""
+"""Validation of a division, the list of the organisations' limits.
+
+Every organisation is listed exactly once, with a consistent minimum, weight and maximum.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,8 @@
     pool: float,
 ) -> str:
     """Returns the first fault with its field, or an empty string. `organisations` are those of the
-    entitlements file, `served` those that have a share; `pool` is in CPUs."""
+    entitlements file, `served` those that a share serves; `pool` is the CPUs that the minima may
+    add up to."""
     counts = Counter(entry.name for entry in limits)
     for number, entry in enumerate(limits):
         place = f"organisations[{number}]"
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -1,4 +1,8 @@
-"""The entitlement policy: the organisations of one file, the stored division, the reconciler."""
+"""The entitlement policy: what the core asks about organisations and their targets.
+
+It combines the organisations of the entitlements file, the division (the stored limits of all
+organisations) and the reconciler, which computes targets.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 from .settings import EntitlementSettings
 from .team_mapping import Assignment, derive_assignment, order_teams
 
-NOT_REACHED_AFTER_S = 60.0  # without convergence, after which the reason is logged
+NOT_REACHED_AFTER_S = 60.0  # for which targets are not reached before the reason is logged
 NO_SHARE_TAKEN = "no share was taken yet"
 
 
@@ -33,8 +37,8 @@
         self.problem = NO_SHARE_TAKEN  # why the policy is not in force; empty if it is
         self._leading = False
         self._pool = PoolState((), 0.0)
-        self._unreached_since = LONG_AGO  # start of the present time without convergence
-        self._reached = False
+        self._unreached_since = LONG_AGO  # since when the targets are not reached without a break
+        self._reached = False  # whether the organisations hold their targets
         self._logged_outcomes: set[bool] = set()  # values of `_reached` logged for this division
 
     # --- team mapping and division -------------------------------------------------------
@@ -46,8 +50,8 @@
         return not self.problem
 
     def _name_mismatch(self) -> str:
-        """Returns a problem if the stored division names other organisations than the file, or an
-        empty string."""
+        """Returns an error text if the division in force and the entitlements file name different
+        organisations, otherwise an empty string."""
         stored = {entry.name for entry in self._division.limits}
         configured = {entry.name for entry in self.settings.organisations}
         if stored == configured:
@@ -58,7 +62,7 @@
         )
 
     def initial_team_order(self, shares: int) -> list[str]:
-        """Returns the names of the team mapping that is stored when the store is first used."""
+        """Returns the team names, in order, of the mapping stored when the store is first used."""
         return order_teams(self.settings.organisations, shares)
 
     def mapping_changed(self, share_of_team: ShareOfTeam, shares: int) -> None:
@@ -67,7 +71,7 @@
         self.problem = self._assignment.problem or self._name_mismatch()
 
     def organisation(self, share: ShareNo) -> OrganisationName | None:
-        """Returns the organisation that the share serves, or None."""
+        """Returns the organisation that the share serves, or None if it serves none or several."""
         return self._assignment.organisation_by_share.get(share)
 
     def division(self) -> Division:
@@ -75,7 +79,7 @@
         return self._division
 
     def division_changed(self, division: Division | None) -> None:
-        """Puts another division in force."""
+        """Puts another division in force; None means the initial one of the entitlements file."""
         self._division = division or self._initial_division
         self.problem = self._assignment.problem or self._name_mismatch()
         self._reset_convergence()
@@ -86,7 +90,8 @@
         self._logged_outcomes.clear()
 
     def validate_division(self, limits: Sequence[OrganisationLimits], capacity: float) -> str:
-        """Returns why such a division is invalid, or an empty string."""
+        """Returns why a division with these limits is invalid, or an empty string. `capacity`, in
+        CPUs, bounds the sum of the minima if the file sets no `pool`."""
         pool = self.settings.pool if self.settings.pool is not None else capacity
         names = {entry.name for entry in self.settings.organisations}
         return validate_limits(
@@ -94,8 +99,8 @@
         )
 
     def preview(self, limits: Sequence[OrganisationLimits]) -> Mapping[OrganisationName, float]:
-        """Returns the targets of the present pool under such a division; empty unless this node
-        leads."""
+        """Returns the targets in CPUs that these limits would give for the present machines and
+        demand; empty unless this node leads."""
         return self.reconciler.targets(limits) if self._leading else {}
 
     # --- planning on the leader ----------------------------------------------------------
@@ -108,7 +113,7 @@
 
     def observe(self, pool: PoolState, now: Instant) -> Sequence[str]:
         """Updates the targets. Returns a log line once when the targets of a division are reached,
-        and once when they are not reached in time."""
+        and once when they are not reached for `NOT_REACHED_AFTER_S`."""
         self._pool = pool
         self.reconciler.observe(pool, self._assignment.organisation_by_share, self._division.limits)
         self._reached = converged(
@@ -124,7 +129,7 @@
         return self._log_line_once("is not reached")
 
     def _log_line_once(self, outcome: str) -> Sequence[str]:
-        """Returns the log line of an outcome, the first time that the division has it."""
+        """Returns the log line of the outcome, or nothing if it was logged for this division."""
         if self._reached in self._logged_outcomes:
             return ()
         self._logged_outcomes.add(self._reached)
@@ -139,7 +144,7 @@
         )
 
     def _lacking_reason(self, name: OrganisationName) -> str:
-        """Returns which organisations hold what the organisation lacks, and why they keep it."""
+        """Returns which other organisations are above their targets, and what keeps them there."""
         reasons = []
         for other, state in sorted(self.reconciler.organisation_states.items()):
             if other == name or not state.surplus:
@@ -156,15 +161,17 @@
         self._leading = False
 
     def below_target(self, share: ShareNo, incoming_cpus: float = 0.0) -> bool:
-        """Returns whether the share's organisation requests more CPUs and holds too few."""
+        """Returns whether the share's organisation is to get machines to reach its target, also
+        after it receives `incoming_cpus`; False while the policy is not in force."""
         return self.in_force and self.reconciler.below_target(share, incoming_cpus)
 
     def meets_target(self, share: ShareNo) -> bool:
-        """Returns whether the share's organisation holds at least its target."""
+        """Returns whether the share's organisation holds at least its target; False while the
+        policy is not in force."""
         return self.in_force and self.reconciler.meets_target(share)
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """Returns whether a machine may be requested from an owner that could use it itself."""
+        """Returns whether the taker may get a machine that the giver's waiting tasks could use."""
         return self.in_force and self.reconciler.may_take(giver, taker, cpus)
 
     def same_organisation(self, one: ShareNo, other: ShareNo) -> bool:
@@ -173,17 +180,17 @@
         return not self.in_force or self.reconciler.same_organisation(one, other)
 
     def transfer_requested(self, giver: ShareNo, taker: ShareNo, cpus: float) -> None:
-        """Counts a machine requested in this plan for the taker."""
+        """Counts a machine requested in this plan as the taker's, no longer as the giver's."""
         self.reconciler.transfer_requested(giver, taker, cpus)
 
     def reassignments(self, now: Instant) -> Sequence[Reassignment]:
-        """Returns what owners are to transfer as their machines become empty."""
+        """Returns the CPUs that givers are to transfer to takers as machines become empty."""
         return self.reconciler.reassignments(now) if self.in_force else ()
 
     # --- status for operators ------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """Returns what operators may see."""
+        """Returns the status of the policy and its organisations for operators."""
         return {
             "problem": self.problem,
             "version": self._division.version,
--- a/runcourse/entitlements/reconciler.py
+++ b/runcourse/entitlements/reconciler.py
@@ -1,10 +1,11 @@
 """Computes the targets of organisations, and which transfers of machines are needed to reach them.
 
-The reconciler is level-triggered: each plan starts from the present records and reports, so a new
-leader simply continues, and a new division simply replaces the former one. The state kept between
-plans only damps oscillation: which organisations are catching up (hysteresis with two thresholds),
-and the direction and time of the last transfers (a dwell time that doubles with each reversal). A
-new leader has no such state, so it waits one dwell time before it requests machines in use.
+The reconciler is level-triggered: each plan of the leader starts from the present machine records
+and load reports, so a new leader simply continues, and a new division (the limits of all
+organisations) simply replaces the former one. The state kept between plans only damps oscillation:
+which organisations are catching up (hysteresis with two thresholds), and the direction and time of
+the last transfers (a dwell time that doubles with each reversal). A new leader has no such
+state, so it waits one dwell time before it requests machines in use.
 """
 
 from __future__ import annotations
@@ -17,10 +18,12 @@
 from ..core.stored_values import OrganisationLimits
 from .fairshare import Claim, allocate
 
-CAUGHT_UP_FRACTION = 0.5  # of the largest machine: an organisation that lacks less has caught up
+# Fraction of the largest machine's CPUs: an organisation that lacks less has caught up.
+CAUGHT_UP_FRACTION = 0.5
 MAX_DWELL_FACTOR = 8  # upper bound of a dwell time, as a multiple of the configured one
 DWELL_GROWTH_FACTOR = 2  # by which a dwell time grows with each reversal of direction
-# A direction is forgotten after so many maximum dwell times without a transfer.
+# The direction of transfers between two organisations is forgotten after so many maximum dwell
+# times without one.
 DIRECTION_MEMORY_DWELLS = 4
 CPU_TOLERANCE = 1e-6  # CPUs; less than any machine has
 
@@ -28,10 +31,10 @@
 class OrganisationState(NamedTuple):
     """Target, holdings and demand of one organisation, in CPUs."""
 
-    target: float  # its part of the capacity, given the demands of all
-    entitled: float  # its part of the capacity if every organisation had unlimited demand
-    held: float
-    demand: float
+    target: float  # CPUs it should hold now: its part of the capacity, given the demands of all
+    entitled: float  # its part if every organisation could use the whole capacity
+    held: float  # CPUs of the machines of its shares
+    demand: float  # CPUs that its running and waiting tasks need
     replicas: float  # held by replicas of services, which are not stopped for a lower target
     lacking_elsewhere: float = 0.0  # total that the other organisations lack
 
@@ -52,7 +55,7 @@
 
     @property
     def lent(self) -> float:
-        """CPUs that it is entitled to, but neither needs nor holds."""
+        """CPUs of `entitled` beyond both what it holds and its target; others may use them."""
         return max(0.0, self.entitled - max(self.held, self.target))
 
 
@@ -64,19 +67,20 @@
     def __init__(self, giver: OrganisationName, requested_at: Instant, dwell_s: float) -> None:
         self.giver = giver
         self.requested_at = requested_at
-        self.dwell_s = dwell_s  # after the last request, before the opposite direction is allowed
+        self.dwell_s = dwell_s  # after `requested_at`, before the opposite direction is allowed
 
 
 class Reconciler:
-    """The present targets, and the transfers that follow from them."""
+    """Computes the present targets, and the transfers that are needed to reach them."""
 
     def __init__(self, dwell_s: float) -> None:
         self.dwell_s = dwell_s
         self.organisation_states: dict[OrganisationName, OrganisationState] = {}
         self._organisation_by_share: Mapping[ShareNo, OrganisationName] = {}
         self._pool = PoolState((), 0.0)
-        # Net CPUs requested for each organisation in this plan.
+        # CPUs requested for each organisation in this plan, less those requested from it.
         self._requested_cpus: dict[OrganisationName | None, float] = {}
+        # Organisations that lacked more than the largest machine and have not caught up since.
         self._catching_up: set[OrganisationName] = set()
         self._transfer_directions: dict[frozenset[OrganisationName], _TransferDirection] = {}
         self._leading_since = Instant(0.0)
@@ -191,8 +195,8 @@
         return self._surplus(self._organisation_by_share.get(share)) >= -CPU_TOLERANCE
 
     def may_take(self, giver: ShareNo, taker: ShareNo, cpus: float) -> bool:
-        """Returns whether the taker's organisation is below its target and the giver's organisation
-        keeps its own, within half of the machine."""
+        """Returns whether the taker's organisation is another one and below its target, and the
+        giver's would end at most half of the machine's CPUs below its own."""
         return (
             not self.same_organisation(giver, taker)
             and self.below_target(taker)
@@ -210,8 +214,8 @@
             self._requested_cpus[name] = self._requested_cpus.get(name, 0.0) + change
 
     def reassignments(self, now: Instant) -> list[Reassignment]:
-        """Returns which machines in use are to be transferred, as they become empty, to shares
-        below their target."""
+        """Returns how many CPUs of machines in use are to be transferred, as these become empty, to
+        shares whose organisation is below its target; none within a dwell time of a takeover."""
         if now < self._leading_since + self.dwell_s:
             return []
         takers = self._takers()
@@ -228,8 +232,9 @@
         return reassignments
 
     def _takers(self) -> list[tuple[ShareNo, float]]:
-        """Returns the shares below their target with the CPUs that each lacks: what an organisation
-        lacks is divided in proportion to what waits in its shares."""
+        """Returns the shares with waiting tasks whose organisation is below its target, with the
+        CPUs that each lacks: what an organisation lacks is divided in proportion to what waits in
+        its shares."""
         takers = []
         for share in self._pool.shares:
             if share.waiting > 0 and self.below_target(share.share):
@@ -243,8 +248,9 @@
         return takers
 
     def _givers(self) -> list[tuple[ShareNo, float]]:
-        """Returns the shares above their target with the surplus CPUs of each: the surplus of an
-        organisation is divided in proportion to what its shares hold."""
+        """Returns the shares whose organisation is above its target, or that serve none, with the
+        surplus CPUs of each: the surplus of an organisation is divided in proportion to what its
+        shares hold."""
         givers = []
         for share in self._pool.shares:
             name = self._organisation_by_share.get(share.share)
@@ -291,8 +297,11 @@
 
 
 def converged(states: Iterable[OrganisationState], largest_machine_cpus: float) -> bool:
-    """Returns whether every organisation holds its target within one machine, or those that don't
-    lack no more than the total debt."""
+    """Returns whether the targets are reached, as far as replicas of services allow.
+
+    Organisations that lack no more than one largest machine count as having reached theirs. What
+    the others lack together must be no more than the total debt, the surplus in replicas.
+    """
     listed = list(states)
     debt = sum(state.debt for state in listed)
     lacking = sum(s.lacking for s in listed if s.lacking > largest_machine_cpus + CPU_TOLERANCE)
--- a/runcourse/entitlements/settings.py
+++ b/runcourse/entitlements/settings.py
@@ -16,9 +16,9 @@
 from ..errors import SettingsError
 from ..sexp_settings import Entry, read_entries, to_struct
 
-MAX_NAME_LENGTH = 200
-MAX_CPUS = 1e9
-MAX_DWELL_S = 30
+MAX_NAME_LENGTH = 200  # characters of a team's or organisation's name
+MAX_CPUS = 1e9  # upper bound of minimum, maximum, weight and pool
+MAX_DWELL_S = 30  # upper bound of the setting `dwell`
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Positive = Annotated[float, Meta(gt=0, le=MAX_CPUS)]
@@ -29,7 +29,7 @@
 
 
 class Organisation(Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """A named set of teams; its limits apply until a division is stored."""
+    """A named set of teams; its limits apply until a division (limits of all) is stored."""
 
     name: Name
     teams: Annotated[tuple[Name, ...], Meta(min_length=1)]
@@ -39,7 +39,7 @@
 
     @property
     def limits(self) -> OrganisationLimits:
-        """The limits of the organisation in the initial division."""
+        """The limits of the organisation while no division is stored."""
         return OrganisationLimits(self.name, self.minimum, self.weight, self.maximum)
 
 
@@ -48,7 +48,8 @@
 
     organisations: tuple[Organisation, ...] = ()
     pool: Positive | None = None  # CPUs that the minima may add up to; None: the CPUs on record
-    # Wait before machines in use are requested in the opposite direction, and after a takeover.
+    # Wait before machines in use are requested in the opposite direction between two organisations
+    # (doubled with each reversal, up to eightfold), and after another node becomes leader.
     dwell: Annotated[float, Meta(gt=0, le=MAX_DWELL_S)] = 5.0
 
 
--- a/runcourse/entitlements/team_mapping.py
+++ b/runcourse/entitlements/team_mapping.py
@@ -13,13 +13,14 @@
 from ..core.ids import ShareNo, Team
 from .settings import Organisation
 
-FILLER = ""  # no team has an empty name
+FILLER = ""  # placeholder in the stored mapping; no team has an empty name
 
 
 class Assignment(NamedTuple):
     """Which organisation each share serves, by the stored team mapping."""
 
-    organisation_by_share: Mapping[ShareNo, str]  # shares without teams are absent
+    # Shares that have no team or serve several organisations are absent.
+    organisation_by_share: Mapping[ShareNo, str]
     problem: str  # empty if every share serves at most one organisation
 
 
@@ -39,8 +40,8 @@
 
 
 def order_teams(organisations: Sequence[Organisation], shares: int) -> list[str]:
-    """Returns the names of the stored mapping, such that the teams of a share belong to one
-    organisation."""
+    """Returns the names to store as the mapping, in such an order that all teams of a share
+    belong to one organisation."""
     columns: list[list[str]] = []
     counts = count_shares(organisations, shares)
     for entry in sorted(organisations, key=lambda entry: entry.name):
