--- a/runcourse/core/budget.py
+++ b/runcourse/core/budget.py
@@ -1,23 +1,23 @@
-"""Limits how many machines one scheduling turn evaluates."""
+"""Limits how many machines a scheduling turn evaluates (scores, or searches for preemption)."""
 
 from __future__ import annotations
 
 from .context import Context
 from .machine import Machine
 
-EVALUATIONS_PER_S = 50_000.0  # rate by which a turn's evaluations delay the next turn
+EVALUATIONS_PER_S = 50_000.0  # each evaluation delays the next turn by 1 / this, in seconds
 TASKS_PER_EVALUATION = 4  # preemption candidates that cost as much as evaluating one machine
 
 
 class TurnBudget:
-    """Counts the machines evaluated in a turn and limits them by sampling."""
+    """Counts the machines evaluated in a pass over all owned shares; limits them by sampling."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self._evaluated = 0
 
     def begin_turn(self) -> None:
-        """Resets the count at the beginning of a turn."""
+        """Resets the count before the pass over the owned shares."""
         self._evaluated = 0
 
     def cost_s(self) -> float:
--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -1,4 +1,7 @@
-"""Draining of machines that are under notice, to be returned, or needed by another share."""
+"""Draining of machines that are to be returned to the cloud, or needed by another share.
+
+Machines under notice, which the cloud will take away at a known time, are evacuated.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 DRAIN_TIMEOUT_S = 45.0  # a machine that is not empty by then accepts tasks again
 MIN_REPLICA_RUNTIME_S = 35.0  # a replica that has run for less is not moved
-SAVE_MARGIN_S = 2.0  # before a machine is taken away, beyond the time that a task takes to save
+SAVE_MARGIN_S = 2.0  # beyond the save time of a task, before its machine is taken away
 GANG_SAVE_MARGIN_S = 1.0  # the same for a gang, beyond its `save_s` and `gang_peer_s`
 
 
@@ -65,7 +68,7 @@
 
         Only a machine whose tasks all have a lower priority than `rank` qualifies; the one with
         the least work lost is chosen, and None returned if there is none. The machine takes no
-        new tasks until it has changed its share.
+        new tasks for DRAIN_TIMEOUT_S, in which it is to change its share.
         """
         now = self.context.now
         best: tuple[float, str, Machine] | None = None
@@ -119,8 +122,9 @@
     def _relocate_replicas(self, machine: Machine) -> bool:
         """Moves the replicas if other machines have room and hold their images.
 
-        Such a move takes only a moment, after which the empty machine can be returned. Returns
-        whether the replicas are moved, or the machine is empty already.
+        They are stopped, and the scheduler starts them elsewhere. That takes only a moment, after
+        which the empty machine can be returned. Returns whether the replicas are moved, or the
+        machine is empty already.
         """
         now = self.context.now
         placements = list(machine.placements.values())
@@ -169,7 +173,8 @@
         """Stops tasks of a machine under notice that do not end in time and have room elsewhere.
 
         They stop now, with time to save, rather than when the cloud takes the machine away. A
-        task with checkpoints and no room elsewhere stops when just the time to save is left.
+        task with checkpoints and no room elsewhere stops when its time to save and SAVE_MARGIN_S
+        are left.
         """
         now = self.context.now
         notice_left_s = (machine.notice_until or now) - now
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -1,8 +1,8 @@
 """Places gangs: all tasks of a gang or none, by the same score as single tasks.
 
-Extension of the paper's placement from single tasks to sets: the tasks are placed one after the
-other on a copy of the allocations, each where it scores best given those before it. Only a
-complete set, in one zone if the job demands it, is carried out.
+This extends the placement of the SlackVM paper from single tasks to sets: tasks are placed one
+after the other on a copy of the allocations, each where it scores best given those before it. Only
+a complete set, in one zone if the job demands it, is carried out.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 ScoreFunction = Callable[[Job, Machine, Size], float]
 
 NO_ROOM = "no room for the whole gang"
-# Room is reserved for a gang that has waited this long; for a gang of a class that is promised to
-# start within some time, after that time divided by the divisor.
+# Room is reserved for a gang that has waited this long; if its job class has an objective for the
+# time to start, after that time divided by WAIT_LIMIT_DIVISOR.
 RESERVE_AFTER_S = 15.0
 WAIT_LIMIT_DIVISOR = 2
-FREE_SOON_S = 60.0  # tasks that will run longer are not expected to make room
+FREE_SOON_S = 60.0  # a task estimated to end within this time counts as room that will be free
 RESERVATION_S = 60.0  # how long room is reserved for a gang at a time
 RESERVATION_PERIOD_S = 2 * RESERVATION_S  # between the beginnings of two reservations for a gang
 # Of a share's CPUs, the part that may be reserved for gangs; the first reservation may exceed it.
 MAX_RESERVED_FRACTION = 0.2
-SAMPLED_MACHINES_PER_TASK = 4
+SAMPLED_MACHINES_PER_TASK = 4  # minimum sample of machines to score, per task of the gang
 
 
 class Plan(NamedTuple):
     """A machine for each task of a gang."""
 
-    slowest_fetch_s: float  # until the last image is fetched
+    slowest_fetch_s: float  # until the last machine holds the image
     score: float  # sum over the tasks; higher is better
     places: list[tuple[int, Machine]]  # task numbers and their machines
 
@@ -252,7 +252,10 @@
         return best[1] if best else None
 
     def _room_soon(self, machine: Machine) -> Size:
-        """Returns the machine's room once the tasks that stop or end soon are gone."""
+        """Returns the machine's room once tasks that stop, or end within FREE_SOON_S, are gone.
+
+        Replicas count as staying, even if they are being stopped.
+        """
         now, room = self.context.now, machine.room
         for placement in machine.placements.values():
             job = placement.job
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -23,9 +23,11 @@
 from .placement import Size
 from .work import Work, lost_work_s, stop_grace_s
 
-INCOMPLETE_BACKOFF_S = 1.0  # before a gang that was not complete in time is tried again
+# Before an incomplete gang is tried again; doubles with each such attempt in a row.
+INCOMPLETE_BACKOFF_S = 1.0
 MAX_INCOMPLETE_BACKOFF_S = 30.0
 MAX_BACKOFF_DOUBLINGS = 8
+# Wait reason: some tasks were not ready to start within the time for which the others wait.
 INCOMPLETE = "it was not complete in time"
 # A worker whose last report is older than this many report intervals may miss a stop order.
 MAX_SILENT_INTERVALS = 2.5
@@ -55,7 +57,7 @@
             work.ending = True
 
     def running_reported(self, work: Work) -> None:
-        """Records that all tasks of the gang run."""
+        """Records that the gang has started: a task runs only once all its tasks are ready."""
         work.started = True
         work.incomplete_attempts = 0
 
@@ -186,7 +188,7 @@
         )
 
     def size_after_first(self, work: Work) -> Size:
-        """Returns the size of all pending tasks but one, which quota checks add themselves."""
+        """Returns the size of all pending tasks but one; quota checks add that one."""
         return work.job.size.times(len(work.pending) - 1)
 
     def max_tasks_in_zone(self, work: Work, zone: str) -> float:
--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -11,15 +11,15 @@
 from .shares import OwnedShare
 from .work import Work, images_being_fetched
 
-# An image is plentiful if the part of CPUs that hold it is this many times its part of the CPUs
-# that waiting tasks request.
+# An image is plentiful if the fraction of CPUs whose machines hold or fetch it is at least this
+# many times the fraction of the CPUs requested by waiting tasks that is requested with it.
 PLENTIFUL_FACTOR = 2.0
-MAX_PLENTIFUL_PART = 1.0  # an image that every machine holds is always plentiful
+MAX_PLENTIFUL_PART = 1.0  # bounds the required fraction: an image on every machine is plentiful
 COUNT_INTERVAL_S = 1.0  # minimum time between two counts of the held images
 
 
 class HeldImages(NamedTuple):
-    """The CPUs of a share's usable machines that hold each image."""
+    """The CPUs of a share's usable machines that hold or fetch each image, counted at one time."""
 
     at: Instant
     cpus_by_image: dict[str, float]
@@ -30,7 +30,10 @@
 
 
 class ImageSupply:
-    """Extension: decides which tasks leave machines without their image to other tasks."""
+    """Finds the images whose tasks leave machines without them to others.
+
+    This extends the placement of the SlackVM paper.
+    """
 
     def __init__(self, context: Context) -> None:
         self.context = context
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -28,10 +28,11 @@
 
 MIN_REPLICAS = 2  # a service with fewer cannot spare one while it moves
 MIN_RUNTIME_S = 30.0  # a task that has run for less is not moved
-STOP_MARGIN_S = 15.0  # beyond its time to save, within which a stopped task must have ended
-START_TIMEOUT_S = 5.0  # within which a task that has ended must be started on its target
+STOP_MARGIN_S = 15.0  # a stopped task must have ended within its time to save plus this
+START_TIMEOUT_S = 5.0  # from the end of the old attempt; after that, the move is given up
 OBSERVE_INTERVAL_S = 1.0  # between two observations of all machines owned here
-OBSERVED_MACHINES_PER_S = 500  # at most; more machines are observed less often
+# The interval lengthens where more machines are owned, so that no more are observed per second.
+OBSERVED_MACHINES_PER_S = 500
 
 
 class Migration:
@@ -119,8 +120,9 @@
     def _moves_allowed(self) -> bool:
         """Returns whether moves may begin.
 
-        None begin in an outage of the state service, on quorum grants alone, or beside a
-        controller of an earlier version.
+        None begin in an outage of the state service, while this controller's authority rests on
+        grants of a majority of its peers alone, or before it is recorded that all controllers run
+        a version that reads finished tasks stored in several values.
         """
         return (
             self.context.now < self.authority.until
@@ -145,7 +147,7 @@
     # Planning
 
     def _plan(self, owned_share: OwnedShare) -> None:
-        """Begins at most one move of the share at a time, among a random sample of its machines."""
+        """Begins a move among a random sample of the share's machines, if none is under way."""
         share, now = owned_share.number, self.context.now
         if (
             not owned_share.settled
@@ -245,7 +247,7 @@
         self.fleet.placements.stop(placement, grace_s)
 
     def attempt_ended(self, placement: Placement, reason: str) -> None:
-        """Takes note that an attempt has certainly ended, in case its task is being moved."""
+        """Lets a moved task start on its target, if the attempt that ended was being moved."""
         move = self._moves.get(placement.task)
         if move is None or move.placement is not placement:
             return
--- a/runcourse/core/placement.py
+++ b/runcourse/core/placement.py
@@ -9,11 +9,11 @@
 
 MIN_CPUS = 1e-6  # a task that requests no CPUs counts as requesting this many
 SIZE_TOLERANCE = 1e-9  # CPUs, gigabytes or GPUs; absorbs rounding in sums of sizes
-UNLIMITED_COUNT = 1_000_000  # tasks of size zero that fit anywhere
+UNLIMITED_COUNT = 1_000_000  # returned by `count_fitting` for a task of size zero
 
 
 class Size(NamedTuple):
-    """CPUs, memory and GPUs of a task or machine."""
+    """CPUs, memory in gigabytes, and GPUs of a task or machine."""
 
     cpus: float
     memory: float
@@ -45,10 +45,11 @@
 
 
 def progress_score(config: Size, allocated: Size, task: Size) -> float:
-    """Returns the progress of a machine's memory-per-CPU allocation towards its hardware ratio.
+    """Returns by how much a task brings allocated memory per CPU nearer to that of the hardware.
 
-    A positive score means that the task brings the ratio nearer. A move away from it weighs
-    more on a fuller machine, so that unbalancing tasks go where balance can still be restored.
+    The unit is gigabytes per CPU; `config` is the machine's size. A positive score means nearer. A
+    move away from it weighs more on a fuller machine, so that unbalancing tasks go where balance
+    can still be restored.
     """
     target = config.memory / max(config.cpus, MIN_CPUS)
     cpus = max(task.cpus, MIN_CPUS)
--- a/runcourse/core/placement_policy.py
+++ b/runcourse/core/placement_policy.py
@@ -1,8 +1,8 @@
 """The interface through which a placement policy influences where tasks run.
 
-A policy adjusts scores and proposes moves; it issues no commands. Filters, limits, fencing and the
-rule that no task runs twice stay with the modules that own them. Without a policy (`NoPolicy`)
-placement is unchanged.
+A policy adjusts scores and proposes moves; it issues no commands to workers. Placement
+constraints, limits, fencing and the rule that no task runs twice stay with the modules that own
+them. Without a policy (`NoPolicy`) placement is unchanged.
 """
 
 from __future__ import annotations
--- a/runcourse/core/placements.py
+++ b/runcourse/core/placements.py
@@ -24,10 +24,10 @@
     """Receives notifications of changes to the placements."""
 
     def placement_added(self, placement: Placement) -> None:
-        """Called when a placement counts from now on."""
+        """Called when a placement begins to take room on its machine."""
 
     def placement_removed(self, placement: Placement) -> None:
-        """Called when a placement no longer counts."""
+        """Called when a placement no longer takes room on its machine."""
 
     def stop_requested(self, placement: Placement) -> None:
         """Called when a stop of the task was requested."""
@@ -144,7 +144,8 @@
         """Has the task stopped, with `grace_s` seconds to save its progress."""
         if not placement.active or (placement.stopping and grace_s >= placement.grace_s):
             return
-        placement.forced = placement.stopping  # a second order cuts the saving short
+        # A second stop order, with less grace time, cuts the saving short.
+        placement.forced = placement.stopping
         if not placement.stopping:
             placement.machine.count_rank(placement, -1)
             placement.stopping = True
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -20,9 +20,9 @@
 from .turn import Turn
 from .work import Work, fetch_s, permits, zone_allows_task
 
-MIN_RUNTIME_S = 3.0  # a task placed less long ago is not stopped for a guarantee
+MIN_RUNTIME_S = 3.0  # a task placed more recently is not stopped for work of equal rank
 CPU_TOLERANCE = 1e-6  # CPUs; absorbs rounding in sums of sizes
-CANDIDATES_PER_TASK = 4  # machines that are considered at least for each missing task
+CANDIDATES_PER_TASK = 4  # minimum sample of machines to evaluate, per missing task
 
 
 class Preemption:
@@ -50,7 +50,7 @@
         self._unsatisfiable: dict[tuple[Any, ...], list[Size]] = {}
 
     def begin_turn(self) -> None:
-        """Forgets what was found in the previous turn."""
+        """Forgets for which sizes and gangs the previous turn could make no room."""
         self._unsatisfiable.clear()
 
     def make_room(
@@ -58,10 +58,11 @@
     ) -> int:
         """Stops work of lower priority so that up to `missing` tasks fit; returns for how many.
 
-        Machines are used in the order of the work lost, and only if they hold the image of the
-        job within `fetch_limit_s` seconds. A guarantee serves only as many tasks as lie within
-        it, and brings no team below its own guarantee: otherwise two teams would stop each
-        other's tasks in turn.
+        Machines with the least work lost come first (for replicas, work lost plus image fetch, in
+        seconds), and only machines that can hold the job's image within `fetch_limit_s` seconds.
+        For tasks within its team's guarantee a job may also stop tasks of equal rank, but only
+        those of other teams that hold more than their own guarantee: otherwise two teams would
+        stop each other's tasks in turn.
         """
         job = work.job
         guaranteed = self.quota.guaranteed_count(job)
@@ -142,8 +143,8 @@
     def make_room_for_gang(self, turn: Turn, work: Work) -> None:
         """Stops work of lower priority so that all pending tasks of a gang fit, or stops none.
 
-        All tasks are placed in one zone if the gang requires it. A guarantee serves a gang only
-        if the gang lies within it as a whole.
+        All tasks are placed in one zone if the gang requires it. Tasks of equal rank are
+        stopped only if the whole gang lies within its team's guarantee (see `make_room`).
         """
         job, task_count = work.job, len(work.pending)
         guaranteed = self.quota.guaranteed_count(job) >= task_count
@@ -231,8 +232,8 @@
             # tasks of a gang, which then fill other gaps and are stopped for the next task.
             if placement.job.spec.gang and not (job.spec.service or job.spec.gang):
                 continue
-            # Otherwise work that starts after a long wait, and has the least to lose, is stopped at
-            # once, and is started and stopped again many times a second.
+            # Work prioritised after a long wait is spared for that time: having just started, it
+            # has the least to lose, and would be stopped and started again many times a second.
             work = self.work.get(placement.task.job)
             if work is not None and self.context.now < work.prioritised_until:
                 continue
--- a/runcourse/core/queue_order.py
+++ b/runcourse/core/queue_order.py
@@ -11,10 +11,12 @@
 from .quota import Quota
 from .work import Work, has_begun
 
-# A job that waits longer is overdue: without this limit smaller jobs could overtake it forever.
+# Seconds after submission from which a job is overdue: otherwise smaller jobs could overtake it
+# forever. An overdue service or gang is then served first for as long again.
 OVERDUE_AFTER_S = 120.0
 OVERDUE_RANK = -1  # sorts before every rank
-# Estimates are often wrong by half: the rest of a job that has begun may take less.
+# Fraction of its estimate that a job that has begun is assumed to still need: estimates are often
+# wrong by half, and part of the job may be done.
 BEGUN_ESTIMATE_FACTOR = 0.5
 DEFAULT_DEADLINE_FACTOR = 1.0  # where an objective states no multiple of the deadline
 
@@ -60,9 +62,10 @@
     def urgency(self, work: Work) -> tuple[bool, int, int, float, str]:
         """Returns the sort key of the work; the least is served first.
 
-        Work within its team's guarantee comes first, then the higher rank, then the nearest
-        deadline among those that can still be met: a job that will be late anyway must not make
-        the next one late too. Overdue services and gangs come before all others.
+        Work within its team's guarantee comes first, then the smaller rank number (the
+        higher priority), then the job that will miss the fewest of its time limits, then the
+        nearest deadline: a job that will be late anyway must not make the next one late too.
+        Overdue services and gangs come before all others.
         """
         job = work.job
         spec = job.spec
@@ -87,7 +90,10 @@
         return (*key, missed, job.submitted + spec.deadline_s, job.uid)
 
     def overdue(self, work: Work) -> bool:
-        """Returns whether the array has waited so long that it gets a part of all starts."""
+        """Returns whether the job is an array submitted more than OVERDUE_AFTER_S ago.
+
+        Arrays that fail on every machine are never overdue.
+        """
         spec = work.job.spec
         return (
             not spec.service
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -36,7 +36,7 @@
         }
         self._held: dict[Team, Size] = {}
         self._placements_by_rank: dict[int, int] = {}
-        self.stopping: dict[Team, Size] = {}  # the part of `held` that is being stopped
+        self.stopping: dict[Team, Size] = {}  # the part of each team's holding being stopped
 
     def held(self, team: Team) -> Size:
         """Returns the total size of the team's placements."""
@@ -127,7 +127,7 @@
         return held.cpus > limits.cpus + TOLERANCE or held.gpus > limits.gpus + TOLERANCE
 
     def any_preemptible(self, waiting: Job, guaranteed: bool) -> bool:
-        """Returns whether `may_preempt` can be true for any placement."""
+        """Returns False only if `may_preempt` is False for all placements; a cheap first check."""
         rank = waiting.spec.rank
         if any(
             count > 0 and placed_rank > rank
@@ -147,10 +147,11 @@
     ) -> bool:
         """Returns whether the victim may be stopped for the waiting job.
 
-        The workers' protocol, section "Preemption", allows it for a higher rank, and for a
-        guarantee against work beyond its team's guarantee. It allows a guarantee to stop work of
-        any rank; higher ranks are spared here nevertheless, since a replica that is stopped for an
-        array costs its users more than the array gains.
+        The workers' protocol, section "Preemption", allows a job to stop work of lower
+        priority (a larger rank number), and, within its team's guarantee, work of teams that hold
+        more than theirs. The protocol allows the latter for any rank; here only equal rank is
+        stopped, and no replica for an array, since that costs the replica's users more than the
+        array gains. `guaranteed` tells whether the waiting job is within its team's guarantee.
         """
         job = victim.job
         if job is None:
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -1,4 +1,8 @@
-"""The scheduler: the owner's turns over its shares, in which it places waiting tasks."""
+"""The scheduler of a controller that owns shares.
+
+A share is a group of teams with the machines assigned to it. One pass over the waiting jobs of one
+share is called a turn.
+"""
 
 from __future__ import annotations
 
@@ -35,12 +39,12 @@
 from .versions import Versions
 from .work import Work, holds_or_fetches_image
 
-TURN_RETRY_S = 0.25  # between turns while tasks wait for room
+TURN_RETRY_S = 0.25  # from the end of the minimum gap to the next turn, if tasks still lack room
 MIN_MACHINE_PAID_S = 60.0  # the shortest time for which a machine is paid
-QUEUED_JOBS_PER_S = 5_000.0  # rate by which the waiting jobs of a turn delay the next turn
-MAX_TURN_GAP_S = 0.25  # bounds on the time between turns, which grows with their cost
+QUEUED_JOBS_PER_S = 5_000.0  # each waiting job delays the next turn by 1 / this, in seconds
+MAX_TURN_GAP_S = 0.25  # bounds on the gap between turns, which grows with the last turn's cost
 MIN_TURN_GAP_S = 0.02
-PROBE_RETRY_S = 1.0  # while a probe runs or found no room
+PROBE_RETRY_S = 1.0  # between checks of a job whose probe (see `_probe`) runs or lacks room
 MACHINE_FULL_BACKOFF_S = 1.0  # after a worker refused a start as full or busy
 UNKNOWN_TASK_BACKOFF_S = 1.0  # after a worker refused a start as unknown
 
@@ -67,7 +71,7 @@
         self._pending: dict[ShareNo, dict[JobId, Work]] = {}
         self.unmet: dict[ShareNo, list[UnmetDemand]] = {}
         self.order = QueueOrder(context, quota)
-        self._dirty = True  # something changed since the last turn
+        self._dirty = True  # a job, placement or machine changed since the last turn
         self._next_turn = Instant(0.0)
         self._backoff_ends_at = FAR_FUTURE  # when the next backoff ends; FAR_FUTURE: none
         self.finishes = Finishes(context, store, shares)
@@ -219,7 +223,7 @@
             self.gangs.stop_requested(work)
 
     def attempt_ended(self, placement: Placement, reason: str) -> None:
-        """Handles the end of an attempt."""
+        """Applies an attempt's end reason, and queues its task again unless it is done."""
         self._dirty = True
         self.migrations.attempt_ended(placement, reason)
         work = self.work.get(placement.task.job)
@@ -268,7 +272,7 @@
     def run_turns(self) -> None:
         """Takes a turn over each owned share, if anything changed since the last or a retry is due.
 
-        Turns follow each other after a minimum gap, which grows with the cost of the last turns.
+        The minimum gap between turns grows with the cost of the last pass over all owned shares.
         """
         now = self.context.now
         # Time alone may make room: machines become usable again as quarantines and backoffs end.
@@ -306,8 +310,8 @@
         )
         self.migrations.serve(turn)
         self.placement.serve_overdue(turn, waiting)
-        # One priority at a time: work that leaves a machine to others of its priority must not
-        # preempt them there at once.
+        # One priority at a time: jobs with a plentiful image leave machines without it to jobs of
+        # the same priority, and must not preempt those there in the same turn.
         for _, works in groupby(waiting, key=lambda work: urgency[work.job.uid][:2]):
             self._serve_priority(turn, works, plentiful)
         self.unmet[owned_share.number] = turn.unmet
@@ -318,10 +322,10 @@
     def _classify_pending(
         self, owned_share: OwnedShare
     ) -> tuple[list[Work], list[Work], list[Machine]]:
-        """Returns the work that may be started, the work that fails everywhere, and the
-        representatives of the machines that may hold unknown tasks.
+        """Returns the jobs that may start tasks, those that fail on every machine, and one machine
+        of each kind that may hold tasks not located since the takeover.
 
-        Sets the wait reason of all other work.
+        Sets the wait reason of the jobs left out.
         """
         now = self.context.now
         waiting: list[Work] = []
@@ -351,7 +355,9 @@
     def _has_attempt_numbers(self, owned_share: OwnedShare, waiting: list[Work]) -> bool:
         """Returns whether the share has attempt numbers for all tasks that this turn may start.
 
-        It lacks them only if millions of tasks would start before anything is stored.
+        It is False only if so many tasks start before the store's revision advances that the
+        attempt counter would overflow into the epoch: the epochs reached must not exceed the
+        newest stored revision. That takes millions of starts.
         """
         pending = sum(len(work.pending) for work in waiting)
         max_starts = MAX_LISTED_TASKS * len(self.fleet.of_share(owned_share.number))
@@ -387,8 +393,9 @@
     def _serve_priority(self, turn: Turn, works: Iterable[Work], plentiful: frozenset[str]) -> None:
         """Serves work of one priority.
 
-        Array tasks with a plentiful image first go only to machines that hold it; the rest of them
-        is served at the end.
+        Array tasks whose image is plentiful (see `ImageSupply.plentiful`) are first placed, without
+        preemption, only on machines that hold or fetch it. Those left are placed after all other
+        work of the priority, on any machine.
         """
         deferred: list[Work] = []
         for work in works:
@@ -405,7 +412,7 @@
             self.placement.serve_with_preemption(turn, work)
 
     def _probe(self, turn: Turn, work: Work) -> None:
-        """Probes work that fails everywhere, and schedules the next check of it."""
+        """Tries a job that fails on every machine (a probe), and schedules the next check of it."""
         now = self.context.now
         self.placement.probe(turn, work)
         # The next check is when the next probe is due, or soon while one runs or found no room.
@@ -424,7 +431,7 @@
         return min(count, math.ceil(count * spec.estimate_s / MIN_MACHINE_PAID_S))
 
     def tick(self) -> None:
-        """Advances the modules that depend on time alone."""
+        """Runs the periodic work of the modules for unlocated tasks, draining and migrations."""
         self.unlocated.tick()
         self.draining.tick()
         self.migrations.tick()
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -1,4 +1,4 @@
-"""The score of a machine for a task: the paper's progress score and the documented extensions."""
+"""The score of a machine for a task: the SlackVM paper's progress score and extensions of it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from .placement_policy import NoPolicy, PlacementPolicy
 from .work import fetch_s
 
-# Fraction of a share's replicas, by CPUs, that may gather on one machine.
+# Fraction of the CPUs of a share's replicas up to which a machine may gather them, within the
+# limits MIN_REPLICA_FILL and MAX_REPLICA_FILL.
 MAX_REPLICA_CONCENTRATION = 0.1
-MIN_REPLICA_FILL = 0.5  # fraction of a machine that replicas may fill where a share has few
+MIN_REPLICA_FILL = 0.5  # fraction of a machine that replicas may always fill
 MAX_REPLICA_FILL = 0.9  # fraction of a machine that replicas may fill in any share
-FILL_WEIGHT = 0.2  # of all allocated CPUs, relative to those of replicas
-ON_DEMAND_PENALTY = 0.3  # of a machine that is not spot, for work that may use spot machines
+FILL_WEIGHT = 0.2  # score weight of all allocated CPUs, relative to the CPUs of replicas
+ON_DEMAND_PENALTY = 0.3  # for arrays and gangs, on a machine neither spot nor with replicas
 
 
 class Scoring:
@@ -37,10 +38,10 @@
         assert machine.type is not None
         used = machine.used if used is None else used
         score = progress_score(machine.type.size, used, job.size)
-        # Extension: seconds until the machine holds the image.
+        # Extension of the paper: seconds until the machine holds the image.
         score -= self.context.operators.image_weight * fetch_s(job, machine)
         if self.policy.active:
-            # Extension: seconds of data transfer and of slowdown by load.
+            # Extension of the paper: seconds of delay by data transfer and slowdown.
             cost_s = self.policy.cost_s(job.spec, machine, self.context.now)
             score -= self.context.operators.image_weight * cost_s
         if self.context.operators.gather_weight:
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -21,10 +21,10 @@
 from .turn import Turn, UnmetDemand
 from .work import Work, fetch_s, has_begun, permits, zone_allows_task
 
-OVERDUE_START_FRACTION = 0.2  # tasks that overdue work may start first per array task started
-MAX_OVERDUE_CREDIT = 50.0  # tasks
-REPLICA_AVOIDS_RESERVED_S = 3.0  # for which new replicas avoid room reserved for gangs
-ARRAY_AVOIDS_RESERVED_S = 45.0  # an array that waits longer begins in reserved room as well
+OVERDUE_START_FRACTION = 0.2  # start credits of overdue arrays (see `serve_overdue`) per array task
+MAX_OVERDUE_CREDIT = 50.0  # start credits per share
+REPLICA_AVOIDS_RESERVED_S = 3.0  # from submission; a service avoids room reserved for gangs
+ARRAY_AVOIDS_RESERVED_S = 45.0  # the same for an array, which may then only begin there
 NO_ROOM = "no machine with room"
 TEAM_LIMIT = "team limit"
 
@@ -55,7 +55,7 @@
         self.preemption = preemption
         self.gang_placement = gang_placement
         self.failures = failures
-        # Tasks that overdue work may start before all other work.
+        # By share: tasks that overdue arrays may start before all other work.
         self._overdue_credit: dict[ShareNo, float] = {}
 
     def array_task_placed(self, share: ShareNo) -> None:
@@ -67,9 +67,10 @@
     def serve_overdue(self, turn: Turn, waiting: Iterable[Work]) -> None:
         """Places a limited number of tasks of overdue arrays before all other work.
 
-        The first task of each array is always tried, further ones as far as the share's credit
-        goes, so that overdue work gets a part of all starts. Serving all of it first would make
-        the work that arrives meanwhile overdue as well.
+        The first task of each array takes no credit of the share, each further one takes one, so
+        that overdue work gets a part of all starts. The pass ends when an array that has begun
+        finds no room. Serving all overdue work first would make the work that arrives meanwhile
+        overdue as well.
         """
         share = turn.owned_share.number
         overdue = [w for w in waiting if self.order.overdue(w)]
@@ -91,7 +92,7 @@
         self._overdue_credit[share] = credit
 
     def serve_with_preemption(self, turn: Turn, work: Work) -> None:
-        """Serves the work for the last time in the turn, and records its unmet demand.
+        """Places the job's tasks in its last try of the turn, and records those that lack room.
 
         Work of lower priority may be preempted for it.
         """
@@ -138,8 +139,9 @@
     def probe(self, turn: Turn, work: Work) -> None:
         """Starts one task of a job, or a whole gang, that fails wherever it starts.
 
-        It uses room that no other work took, preferably on a machine where the job has not failed
-        yet and that holds its image.
+        It runs after all other work of the turn, preferably on a machine where the job has not
+        failed yet and that holds its image. A job of which a task already runs for longer than the
+        failed ones did counts as successful instead.
         """
         if self.failures.runs_past_failures(work):
             self.failures.note_success(work)
@@ -195,7 +197,8 @@
     ) -> int:
         """Places at most `max_tasks` pending tasks; returns how many found no machine.
 
-        Each of the candidates has room for one task at least.
+        Each of the candidates has room for one task at least. Returns 0 if the team's limit is
+        reached; tasks for which `_preempt_at_image` makes room are not counted.
         """
         job = work.job
         extra = turn.unlocated_of(job.spec.team)
@@ -232,7 +235,8 @@
         while scored and not self._may_take(work, task, scored[0][2]):
             entry = heapq.heappop(scored)
             if zone_allows_task(work, entry[2].record.zone):
-                skipped.append(entry)  # it lists a former attempt of this task, but may take others
+                # It holds a former attempt of this task, but may take other tasks.
+                skipped.append(entry)
         if not scored:
             return False
         _, index, machine = scored[0]
@@ -255,10 +259,11 @@
         )
 
     def _preempt_at_image(self, turn: Turn, work: Work, candidates: list[Machine]) -> int:
-        """Extension: preempts for urgent replicas on machines that hold their image.
+        """Preempts for urgent replicas on machines that can have their image in time.
 
-        These are replicas of a class whose promised time to start is shorter than their image's
-        fetch. Returns for how many tasks room is being made; they wait until it is free.
+        This extends the SlackVM paper's placement. A replica is urgent if its job class has an
+        objective for the time to start, and too few candidates can hold the image within it.
+        Returns for how many tasks room is being made; they wait until it is free.
         """
         job = work.job
         wait_limit_s = self.order.wait_limits_s.get(job.spec.lane)
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -1,4 +1,4 @@
-"""The state of one scheduling turn over one share."""
+"""The state of one scheduling turn: one pass over the waiting jobs of one share."""
 
 from __future__ import annotations
 
@@ -30,10 +30,11 @@
     owned_share: OwnedShare
     usable: Callable[[], list[Machine]]  # all that accept new tasks; computed on the first call
     machines_with_room: list[Machine]  # usable, with room for the smallest waiting task
-    unlocated: Mapping[Team, Size]  # tasks that may run unknown to this owner
+    unlocated: Mapping[Team, Size]  # size of tasks that may run but are not located by this owner
     reserved: Mapping[MachineId, JobId]  # machines reserved for a gang
     claimed: set[MachineId] = field(default_factory=set)  # machines where tasks are being preempted
-    # Sizes that found no room in this turn: a task at least as large won't find any either.
+    # Task sizes that found no room in this turn, by the constraints of their jobs: a task of the
+    # same constraints that is at least as large won't find any either.
     sizes_without_room: dict[MachineConstraints, list[Size]] = field(default_factory=dict)
     unmet: list[UnmetDemand] = field(default_factory=list)
 
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -1,4 +1,8 @@
-"""Tasks that an earlier owner of a share may have started on machines that are not settled yet."""
+"""Tasks that an earlier owner of a share may have started and that are not located yet.
+
+A machine is unsettled from a takeover until the tasks that an earlier owner may have started on it
+are known to the new owner.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 
 
 class UnlocatedTasks:
-    """Determines which tasks may run without being located yet, and how much they may take."""
+    """Determines which jobs may have unlocated tasks, and the room that these may take."""
 
     def __init__(
         self, context: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work]
@@ -29,7 +33,7 @@
         self._cancelled: dict[JobId, tuple[Job, Instant]] = {}
 
     def note_cancellation(self, job: Job) -> None:
-        """Counts the cancelled job's unlocated tasks against its team's limit for a while.
+        """Counts the cancelled job's unlocated tasks against its team's limit while they may run.
 
         They may continue to run on unsettled machines. Jobs of all shares are counted, since this
         node may take over the job's share meanwhile.
@@ -61,15 +65,15 @@
     def may_be_unlocated(self, job: Job, owned_share: OwnedShare, unsettled: list[Machine]) -> bool:
         """Returns whether an earlier owner may have started tasks of the job not located yet.
 
-        Only machines where the job's tasks are allowed and fit can hold them: there is no need to
-        wait for the others.
+        Only unsettled machines where the job's tasks are allowed and fit can hold them: there is no
+        need to wait for the others to be settled.
         """
         return job.accepted <= owned_share.epoch and any(
             permits(job, m) and (m.type is None or job.size.fits(m.type.size)) for m in unsettled
         )
 
     def by_team(self, owned_share: OwnedShare, unsettled: list[Machine]) -> dict[Team, Size]:
-        """Returns what each team's unlocated tasks may take.
+        """Returns the upper bound of the room that each team's unlocated tasks take.
 
         These are tasks of open jobs, and of recently cancelled jobs, which may not have stopped
         yet. A team's tasks take no more than the unsettled machines hold together.
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -1,4 +1,4 @@
-"""The remaining work of an open job, and the machines where its tasks may run."""
+"""The remaining work of an open (unfinished) job, and the machines where its tasks may run."""
 
 from __future__ import annotations
 
@@ -46,13 +46,14 @@
         self.flushed_at = LONG_AGO  # when the newest such write was queued
         self.flush_retry_at = LONG_AGO  # no such write earlier, after one that failed
         self.not_before = LONG_AGO  # no task is started earlier, after failures or refusals
-        self.prioritised_until = LONG_AGO  # served first, not preempted until then
+        # Until then a service or gang is served first, and no task of the job is preempted.
+        self.prioritised_until = LONG_AGO
         self.failure_counts: dict[MachineId, int] = {}  # failures per machine
         self.max_time_to_failure_s = 0.0  # longest time from a start to its failure
         self.fails_everywhere = False  # its tasks seem to fail on every machine
         # Tasks of which machines may still list a former attempt.
         self.attempted: set[int] = set()
-        self.probe_count = 0  # starts delayed since `fails_everywhere` was set
+        self.probe_count = 0  # delayed retries since `fails_everywhere` was set
         self.wait_reason = ""  # why its next task is not started
         # Only for gangs, which have one attempt for all tasks:
         self.attempt: Attempt | None = None
--- a/runcourse/locality/costs.py
+++ b/runcourse/locality/costs.py
@@ -21,7 +21,10 @@
         self.tracker = tracker
 
     def run_time_s(self, spec: JobSpec) -> float:
-        """Returns the run time in seconds over which a slowdown is counted."""
+        """Returns the run time in seconds that a slowdown is multiplied by.
+
+        It is the job's estimate, or `replica-horizon` for replicas, which have no end.
+        """
         return self.settings.replica_horizon if spec.service else spec.estimate_s
 
     def transfer_s(self, spec: JobSpec, machine: Machine, now: Instant) -> float:
@@ -32,9 +35,9 @@
         """Returns the fraction of its run time that a task loses on the machine.
 
         `committed` is the fraction of the machine's CPUs that is allocated or reserved. Load
-        counts only for tasks that read a source, against the time that their reads take. Other
-        tasks fill machines as they do without the policy: if they were spread, no machine would
-        become empty and could be returned.
+        counts only for tasks that read a data source, so that it is weighed against the time of
+        their reads. Other tasks fill machines as they do without the policy: if they were spread,
+        no machine would become empty and could be returned.
         """
         excess = self.tracker.slowness(machine.id) - NORMAL_SLOWNESS
         if not self.sources.sources_read_by(spec):
--- a/runcourse/locality/fairness.py
+++ b/runcourse/locality/fairness.py
@@ -1,4 +1,4 @@
-"""Fair division of the machines near a data source among the teams that read it.
+"""Fair division of the machines near a data source (in its zones) among the teams that read it.
 
 A team that holds more than its fair part leaves those machines to a team that holds less and waits
 for them, or that runs elsewhere meanwhile. No task is stopped for it, and a team may still use the
@@ -30,12 +30,12 @@
 
 
 class SourceFairness:
-    """Determines which teams leave the machines near a source to others; updated at intervals."""
+    """Determines which teams are held back near a source, that is, leave its machines to others."""
 
     def __init__(self, sources: SourceTable, guarantees: Mapping[str, float]) -> None:
         self.sources = sources
         self.guarantees = guarantees  # CPUs, by team
-        self._held_back: dict[str, frozenset[str]] = {}  # source -> teams
+        self._held_back: dict[str, frozenset[str]] = {}  # source -> teams held back
 
     def recompute(self, machines: Iterable[Machine], works: Iterable[Work], now: Instant) -> None:
         """Determines anew which teams are held back near each source."""
@@ -49,7 +49,7 @@
     def _teams_to_hold_back(
         self, source: Source, machines: list[Machine], works: list[Work]
     ) -> frozenset[str]:
-        """Returns the teams that hold their fair part or more while another waits for its own.
+        """Returns the teams that hold their fair part or more while another lacks some of its own.
 
         A team that runs tasks away from the source counts as waiting.
         """
--- a/runcourse/locality/load.py
+++ b/runcourse/locality/load.py
@@ -3,7 +3,7 @@
 The workers' protocol reports no usage. The load of a machine is the committed fraction of its
 CPUs, plus a constant for each image being fetched. Whether a machine is *slow* is decided
 separately, whatever its load: from the durations of tasks finished on it, compared with those of
-the same class elsewhere.
+the same team and job class on all machines owned here (their siblings).
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 MAX_FETCH_LOAD = 0.2  # fraction of a machine, for all images being fetched
 QUANTILE_ACCURACY = 0.02  # relative error of quantiles
 MAX_CLASSES = 200  # job classes whose durations are kept, the most recently used ones
-MIN_FINISHES = 5  # on a machine, before its durations count
-MIN_SIBLINGS = 20  # finished tasks of a class, before its durations count
-SLOW_RATIO = 1.3  # from which a machine is slow: its median duration relative to its siblings'
+MIN_FINISHES = 5  # finished tasks on a machine, before it can count as slow
+MIN_SIBLINGS = 20  # finished tasks of a team's job class, before others are compared with them
+SLOW_RATIO = 1.3  # minimum median ratio of durations to those of the class, for a slow machine
 MAX_SLOW_RATIO = 4.0  # higher ratios count as this one
 NORMAL_SLOWNESS = 1.0  # of a machine that is not known to be slow
 MEDIAN = 0.5
@@ -74,13 +74,14 @@
         self.settings = settings
         self._heat_states: dict[MachineId, _HeatState] = {}
         self._class_durations: OrderedDict[tuple[str, str], DDSketch] = OrderedDict()
-        self._ratios: dict[MachineId, DDSketch] = {}  # of durations to those of siblings
+        # Ratios of durations to the median of the same team and job class.
+        self._ratios: dict[MachineId, DDSketch] = {}
         self._slowness: dict[MachineId, float] = {}  # of machines known to be slow
 
     # Heat
 
     def observe(self, machine: Machine, now: Instant) -> None:
-        """Updates the heat of the machine by its present load."""
+        """Updates the heat (load state) of the machine from its present load."""
         state = self._heat_states.get(machine.id)
         if state is None:
             state = self._heat_states[machine.id] = _HeatState(now)
@@ -121,7 +122,10 @@
     # Slow machines
 
     def record_completion(self, spec: JobSpec, machine: Machine, ran_s: float) -> None:
-        """Records that a task completed on the machine after `ran_s` seconds."""
+        """Records that a task completed on the machine after `ran_s` seconds.
+
+        Durations are kept as multiples of the estimate; tasks without one are not counted.
+        """
         if spec.estimate_s <= 0 or ran_s <= 0:
             return
         duration = ran_s / spec.estimate_s
@@ -146,7 +150,7 @@
         return sketch
 
     def slowness(self, id: MachineId) -> float:
-        """Returns the ratio of durations there to those elsewhere; 1 unless known to be slow."""
+        """Returns the ratio of durations there to those of siblings; 1 unless known to be slow."""
         return self._slowness.get(id, NORMAL_SLOWNESS)
 
     def _update_slowness(self, id: MachineId, ratios: DDSketch) -> None:
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -15,12 +15,14 @@
 from .load import NORMAL_SLOWNESS, Heat, LoadTracker, committed_fraction
 from .settings import LocalitySettings
 
-RESTART_S = 2.0  # from the end of a stopped task until it is known and the task runs elsewhere
-# Fraction of CPUs by which the target must stay below the source after a move for load alone.
+RESTART_S = 2.0  # assumed time from the end of a stopped task until it runs on its target
+# For a move for load alone: the target's committed fraction of CPUs, the task included, must be
+# lower than that of the present machine by at least this.
 BALANCE_MARGIN = 0.1
 SECONDS_PER_HOUR = 3600.0
-FORGET_AFTER_COOLDOWNS = 2.0  # longest cooldowns, after which the moves of a task are forgotten
-COOLDOWN_FACTOR = 2  # between the cooldowns after two successive moves of a task
+# Times `cooldown-most` from the end of a task's cooldown until its moves are forgotten.
+FORGET_AFTER_COOLDOWNS = 2.0
+COOLDOWN_FACTOR = 2  # each cooldown of a task is this many times the one before
 
 
 class _Cooldown(NamedTuple):
@@ -33,7 +35,7 @@
 class MoveBounds:
     """Limits the moves per hour of each share, and moves of one task by a doubling cooldown.
 
-    Neither limit depends on the memory of one process: a share that is taken over begins with an
+    A restart or takeover does not loosen the limits: a share that is taken over begins with an
     empty budget, and tasks that an earlier owner started begin with the longest cooldown.
     """
 
@@ -165,9 +167,9 @@
         return max(0.0, 1.0 - (now - placement.ran_since) / total_s) if total_s > 0 else 0.0
 
     def _balances_load(self, source: Machine, target: Machine, target_committed: float) -> bool:
-        """Returns whether a move without nearer data relieves a slow machine or evens out loads.
+        """Returns whether a move that saves no transfer leaves a slow machine or evens out loads.
 
-        Otherwise two machines would exchange tasks forever.
+        Without this condition two machines would exchange tasks forever.
         """
         if self.tracker.slowness(source.id) > NORMAL_SLOWNESS:
             return True
--- a/runcourse/locality/settings.py
+++ b/runcourse/locality/settings.py
@@ -35,7 +35,7 @@
 
     name: Name
     zones: Annotated[tuple[Name, ...], Meta(min_length=1)]
-    read_gb: NonNegative  # gigabytes that one task reads
+    read_gb: NonNegative  # gigabytes that one task reads from it
     local_rate: Positive  # gigabytes per second within its zones
     remote_rate: Positive  # gigabytes per second from any other zone
     teams: tuple[Name, ...] = ()
@@ -52,19 +52,19 @@
     dry_run: bool = False  # plan and log moves, but carry out none
     hot: Fraction = 0.9  # committed fraction of a machine from which it is hot
     cool: Fraction = 0.6  # committed fraction of a machine up to which it is cool
-    dwell: NonNegative = 30.0  # time beyond a threshold before the heat changes
+    dwell: NonNegative = 30.0  # time beyond a threshold before a machine turns cool, warm or hot
     interval: Positive = 5.0  # between two plans of a share
     sample: Count = 20  # machines that a plan considers
-    moves_per_hour: NonNegative = 60.0  # limit of each share
+    moves_per_hour: NonNegative = 60.0  # limit of each share's begun moves
     burst: Count = 4  # moves that an unused budget accumulates at most
-    cooldown: Positive = 300.0  # of a task after its first move; doubles with each
+    cooldown: Positive = 300.0  # after a task's first move, until its next; doubles with each
     cooldown_most: Positive = 4800.0  # longest cooldown
-    gain_factor: Annotated[float, Meta(ge=1)] = 2.0  # by which the gain must exceed the cost
-    least_gain: NonNegative = 10.0  # seconds, after the cost
-    replica_horizon: Positive = 600.0  # run time over which a replica's gain is counted
+    gain_factor: Annotated[float, Meta(ge=1)] = 2.0  # minimum gain of a move, times its cost
+    least_gain: NonNegative = 10.0  # seconds that a move must gain, its cost deducted
+    replica_horizon: Positive = 600.0  # run time that is assumed for a replica
     flap_changes: Count = 3  # changes of a source's zones within `flap-window`
     flap_window: Positive = 900.0  # in which changes of zones are counted
-    flap_hold: Positive = 900.0  # for which a source that changed too often is ignored
+    flap_hold: Positive = 900.0  # for which a source whose zones changed too often is ignored
 
 
 def load_locality(path: Path, platform: Platform) -> LocalitySettings:
--- a/runcourse/locality/sources.py
+++ b/runcourse/locality/sources.py
@@ -1,4 +1,7 @@
-"""Data sources: the time that a task's reads take in a zone, and damping of flapping sources."""
+"""Data sources: the time that a task's reads take in a zone, and damping of sources.
+
+A source whose zones change too often (see the `flap-` settings) is damped: ignored for a time.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
         self.settings = settings
         self.sources = settings.sources
         self._changes: dict[str, deque[Instant]] = {}  # times at which a source changed its zones
-        self._damped_until: dict[str, Instant] = {}  # by source
+        self._damped_until: dict[str, Instant] = {}  # when a damped source counts again, by source
         self._sources_by_reader: dict[tuple[str, str], tuple[Source, ...]] = {}
 
     def replace(self, settings: LocalitySettings, now: Instant) -> list[str]:
