--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -21,10 +21,13 @@
 from .turn import Turn, UnmetDemand
 from .work import Work, fetch_s, has_begun, permits, zone_allows_task
 
-OVERDUE_START_FRACTION = 0.2  # start credits of overdue arrays (see `serve_overdue`) per array task
-MAX_OVERDUE_CREDIT = 50.0  # start credits per share
-REPLICA_AVOIDS_RESERVED_S = 3.0  # from submission; a service avoids room reserved for gangs
-ARRAY_AVOIDS_RESERVED_S = 45.0  # the same for an array, which may then only begin there
+# Tasks of overdue arrays that may start before all other work, per array task placed in the share.
+OVERDUE_START_FRACTION = 0.2
+MAX_OVERDUE_CREDIT = 50.0  # tasks; limit on such starts that a share accumulates
+# Seconds after submission in which a service is placed on no machine that is reserved for a gang.
+REPLICA_AVOIDS_RESERVED_S = 3.0
+# The same for an array, which after that may use such machines only for its first task.
+ARRAY_AVOIDS_RESERVED_S = 45.0
 NO_ROOM = "no machine with room"
 TEAM_LIMIT = "team limit"
 
@@ -69,8 +72,8 @@
 
         The first task of each array takes no credit of the share, each further one takes one, so
         that overdue work gets a part of all starts. The pass ends when an array that has begun
-        finds no room. Serving all overdue work first would make the work that arrives meanwhile
-        overdue as well.
+        gets no task placed. Serving all overdue work first would make the work that arrives
+        meanwhile overdue as well.
         """
         share = turn.owned_share.number
         overdue = [w for w in waiting if self.order.overdue(w)]
