--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -21,19 +21,21 @@
 from .types import Condition, ExtendLease, GrantLease, Outcome, SendToPeer, Write
 from .versions import VERSION, Versions
 
-TTL_LEASE_FRACTION = 0.3  # of the workers' lease, for the time-to-live of the `live` key
+TTL_LEASE_FRACTION = 0.3  # time-to-live of the `live` key as a part of the workers' lease
 MIN_TTL_S = 1.5
 MAX_TTL_S = 5.0
-GRANT_TTL_FRACTION = 0.75  # of the time-to-live, for the duration of a quorum grant
+GRANT_TTL_FRACTION = 0.75  # duration of a quorum grant as a part of the time-to-live
 MIN_GRANT_S = 1.0
-LEASE_MARGIN_S = 0.05  # by which authority ends before the lease
+LEASE_MARGIN_S = 0.05  # this node stops acting so long before its lease ends
 RENEWALS_PER_TTL = 4
 RETRY_S = 0.2  # after a request for the lease or the live key that failed
 REQUEST_GRANTS_TTL_FRACTION = 0.45  # remaining share of the time-to-live at which requests start
 GRANT_REQUEST_INTERVAL_S = 0.4
 MAX_OPEN_GRANT_REQUESTS = 20  # responses to older requests are ignored
-RECENT_FAILURE_S = 2.0  # longer than the longest wait for an answer of the state service
-RECENT_CONTACT_S = 1.0
+# Maximum age of the last failed request for which a grant is given; longer than the timeout of
+# catch-up reads and lease renewals.
+RECENT_FAILURE_S = 2.0
+RECENT_CONTACT_S = 1.0  # a node with a successful request within this time gives no grants
 MAX_CANCELLATIONS_IN_GRANT = 200  # with more, the grant is withheld
 INCARNATION_BITS = 64
 REQUEST_NUMBER_BITS = 48
@@ -72,8 +74,8 @@
         self._on_lost = on_lost
         self._request_pending = False
         self._next_request_at = Instant(0.0)
-        self._attested_ends: dict[Member, Incarnation] = {}  # leases that this node saw end
-        self._never_grant: set[Incarnation] = set()  # their leases were seen to have ended
+        self._attested_ends: dict[Member, Incarnation] = {}  # by member, its ended incarnation
+        self._never_grant: set[Incarnation] = set()  # incarnations whose leases this node saw end
         self._grants_given: dict[Member, Instant] = {}  # end of the grant given to a member
         self._grants_held: dict[Member, Instant] = {}  # end of the grant received from a member
         # Starts at a random number, so that a response to an earlier process is not taken for one
@@ -88,7 +90,7 @@
 
     @property
     def until(self) -> Instant:
-        """Returns when the authority ends that the lease gives without quorum grants."""
+        """Returns until when this node may act by its lease alone, without quorum grants."""
         if not self.live:
             return LONG_AGO
         return Instant(
@@ -313,7 +315,7 @@
         )
 
     def handle_grant_response(self, member: Member, message: GrantResponse) -> None:
-        """Takes a peer's response to a request for a quorum grant."""
+        """Records the quorum grant or the refusal in a peer's response."""
         sent = self._request_sent_at.get(message.number)
         if sent is None or message.incarnation != self.incarnation:
             return
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -31,7 +31,7 @@
 ANSWER_WITHIN_S = 0.4  # without evidence by then, the request is refused with a retry delay
 REQUEST_INTERVAL_S = 0.1  # between two requests for the same evidence
 PEER_TIMEOUT_S = 2.5  # a peer without a heartbeat for so long is not waited for
-MAX_UNCONFIRMED_JOBS = 5000  # whose acknowledgements are kept
+MAX_UNCONFIRMED_JOBS = 5000  # unconfirmed cancellations for which acknowledgements are kept
 REQUEST_NUMBER_BITS = 48
 
 Waiter = Callable[[bool], None]
--- a/runcourse/core/context.py
+++ b/runcourse/core/context.py
@@ -11,7 +11,7 @@
 from .types import Log
 
 CLOCK_DRIFT = 0.002  # fraction; four times the 0.05 % by which steady clocks differ at most
-WORKER_LEASE_MARGIN_S = 0.25
+WORKER_LEASE_MARGIN_S = 0.25  # added to a worker's lease before its tasks count as killed
 
 
 @dataclass(slots=True)
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -17,13 +17,13 @@
 FAILING_HEALTHY_MACHINES = 2
 FAILING_ATTEMPTS = 6
 FAILING_FEW_MACHINES = 2
-FIRST_RETRY_DELAY_S = 2.0  # before one task of a faulty job is tried again; doubles each time
+FIRST_RETRY_DELAY_S = 2.0  # before a faulty job's next try of one task; doubles
 MAX_RETRY_DELAY_S = 60.0
 MAX_RETRY_DOUBLINGS = 8
 FAULTY_MACHINE_JOBS = 2  # a machine is faulty if so many jobs failed on it that are not faulty
 FAULT_PERIOD_S = 120.0  # in which these failures count, and for which the machine is quarantined
 FAILS_EVERYWHERE_REASON = "fails wherever it starts"
-FIRST_FAILURE_PAUSE_S = 5.0  # without new tasks, for a machine on which a job first failed
+FIRST_FAILURE_PAUSE_S = 5.0  # a machine gets no new tasks for so long after a job first failed
 # A task runs past its job's failures after this factor of their longest run time and a margin.
 RUN_PAST_FACTOR = 1.5
 RUN_PAST_MARGIN_S = 1.0
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -14,10 +14,12 @@
 from .types import Condition, Write
 from .work import Work
 
-FLUSH_GAP_S = 1.0  # minimum between two changes of one job that do not complete it
-FLUSH_RATE_FRACTION = 0.5  # of the rate of changes, for changes that do not complete a job
+# Minimum between two writes of one job's finished tasks, except the write that completes the job.
+FLUSH_GAP_S = 1.0
+# Part of this node's write rate for writes of finished tasks that do not complete their job.
+FLUSH_RATE_FRACTION = 0.5
 RETRY_STORE_S = 0.3  # after a change that was not stored
-RECHECK_S = 0.05  # while this node may not command the share's machines
+RECHECK_S = 0.05  # until the next try, if this node may not command the share's machines
 RETRY_REJECTED_S = 5.0  # after a change that was too large
 BYTES_PER_KB = 1024
 
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -19,7 +19,7 @@
 PART = "rc/part/"  # parts of such pages, where a page is too large for a value
 PAGE_BITS = 16384  # finished tasks per stored page: 4 KiB of hexadecimal digits
 PART_BITS = 4096  # finished tasks per part, where a page is too large for the state service
-STAGE_GROWTH_BYTES = 80  # by which a job's value may grow after its acceptance
+STAGE_GROWTH_BYTES = 80  # growth of a job's value after its acceptance, kept free
 DIGEST_BYTES = 16
 MAX_TASKS = 100_000
 RANKS = {"prod": 0, "urgent": 1, "normal": 2, "idle": 3}
@@ -127,9 +127,11 @@
         self._open: dict[JobId, Job] = {}
         # The number of open jobs, by their team and the CPUs of one task.
         self._open_task_sizes: Counter[tuple[str, float]] = Counter()
-        self._early_pages: dict[JobId, int] = {}  # finished tasks of jobs that were not read yet
+        # Bit mask of finished tasks, for jobs whose submission was not read from the store yet.
+        self._early_pages: dict[JobId, int] = {}
         self._cancelled: list[tuple[Stamp, JobId]] = []
-        self._reported_cancelled: dict[JobId, None] = {}  # by peers, not read yet
+        # Jobs whose cancellation a peer reported and this node has not read yet.
+        self._reported_cancelled: dict[JobId, None] = {}
 
     def get(self, uid: JobId) -> Job | None:
         """Returns the job, or None if it is not known."""
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -50,7 +50,7 @@
         """Called when the machine counts as unreachable from now on."""
 
     def became_unsettled(self, machine: Machine) -> None:
-        """Called when the machine may hold tasks of an earlier owner."""
+        """Called when the machine becomes unsettled: it may hold tasks of an earlier owner."""
 
     def notice_received(self, machine: Machine) -> None:
         """Called when the cloud announced that it will take the machine away."""
@@ -121,8 +121,10 @@
         self.start_report_seq = -1
         self.stopping = False
         self.grace_s = 0.0
-        self.forced = False  # a further stop order shortens the time to save
-        self.fence = Token(0)  # raised at the stop of a task not listed yet; 0: none
+        self.forced = (
+            False  # a further stop order, with a shorter grace, goes out although it saves
+        )
+        self.fence = Token(0)  # token raised when an unlisted task is stopped; 0: none
         self.since = now
         self.ran_since = Instant(0.0)
 
@@ -206,11 +208,11 @@
         self.probe_in_flight = False
         self.last_reached_at = LONG_AGO  # when the worker last proved to be reachable
         self.token_seen = Token(0)
-        self.counter = 0  # raised for a new token
+        self.counter = 0  # low part of the token; raised to invalidate earlier commands
         # A machine recorded after the takeover can't hold tasks of an earlier owner: it was
         # new then, or was transferred while empty.
         self.settled = record.stamp > owned_share.epoch
-        self.expired_session = Session(0)  # the newest one whose lease expired
+        self.expired_session = Session(0)  # newest session whose lease expired
         self.last_answer_at = now if self.settled else owned_share.since
         self.last_message_at = LONG_AGO
         self.up_since = Instant(0.0)
@@ -220,7 +222,7 @@
         self.reservations: dict[TaskId, Size] = {}  # room for tasks that are being moved here
         self.room = ZERO_SIZE
         self.room_level = 0
-        self.cpus_by_rank: dict[int, float] = {}  # of its placements
+        self.cpus_by_rank: dict[int, float] = {}  # CPUs of its placements, by rank
         # Images being fetched; None: must be computed from the placements.
         self.fetches: dict[str, float] | None = None
         self.images: OrderedDict[str, float] = OrderedDict()
@@ -330,7 +332,8 @@
 
     @property
     def suspected(self) -> bool:
-        """Returns whether the worker has not proved reachable since that was last in doubt."""
+        """Returns whether the machine is suspected: its worker, which counts as unreachable, has
+        not reported the token raised when its reachability was last in doubt."""
         return self.token_seen < self.suspect_token
 
     def mark_suspected(self, now: Instant) -> None:
--- a/runcourse/core/machine_groups.py
+++ b/runcourse/core/machine_groups.py
@@ -1,4 +1,4 @@
-"""Counts of recorded machines by kind, updated as the records change."""
+"""Counts of recorded machines by share, type, zone, spot or not, and leaving or not."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         return self._counts
 
     def by_zone(self) -> Counter[tuple[ShareNo, str, bool]]:
-        """Returns the number of machines by share, zone and spot kind, leaving ones included."""
+        """Returns the number of machines by share, zone and spot or not, also leaving ones."""
         found: Counter[tuple[ShareNo, str, bool]] = Counter()
         for group, number in self._counts.items():
             found[group.share, group.zone, group.spot] += number
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -43,7 +43,7 @@
 RELAY_REPORT_INTERVALS = 1.25
 RELAY_LEASE_FRACTION = 0.7
 
-# Beyond LATE_REPORT_INTERVALS without a message:
+# Added to LATE_REPORT_INTERVALS report intervals without a message:
 OVERDUE_MARGIN_S = 1.5  # after which a machine's report counts as overdue
 USABLE_MARGIN_S = 1.0  # after which a machine gets no new tasks
 
@@ -229,7 +229,8 @@
     # --- periodic checks -----------------------------------------------------------------
 
     def tick(self) -> None:
-        """Handles expired leases, and marks shares as settled once all their tasks are located."""
+        """Handles expired leases, and marks a share as settled once no machine of it may hold
+        unreported tasks of an earlier owner."""
         now = self.context.now
         self.commands.enqueue_due()
         if now >= self._leases_checked_at + LEASE_CHECK_INTERVAL_S:
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -57,10 +57,11 @@
 
 HEARTBEAT_INTERVAL_S = 1.0  # between heartbeats to all peers
 REACHABLE_INTERVALS = 2.5  # heartbeat intervals for which a silent peer counts as reachable
-PEER_CONTACT_MAX_AGE_S = 3.0  # of heartbeats whose contact counts for this node's health
-CONTACT_MAX_AGE_S = 1.5  # since the last contact with the state service
-REDIRECT_MEMORY_S = 15.0  # a worker redirected that recently is relayed when it comes back
-RELAY_TIMEOUT_S = 3.0
+PEER_CONTACT_MAX_AGE_S = 3.0  # maximum age of a heartbeat that a health check counts
+CONTACT_MAX_AGE_S = 1.5  # this node has contact if the state service answered within it
+# A report of a worker that was redirected to its owner, or relayed, within this time is relayed.
+REDIRECT_MEMORY_S = 15.0
+RELAY_TIMEOUT_S = 3.0  # for the owner's response to a relayed report; then the answer is 503
 RELAY_RETEST_S = 40.0  # after which a relayed worker is redirected again
 RELAY_NUMBER_BITS = 48
 
@@ -260,7 +261,7 @@
     # --- health --------------------------------------------------------------------------
 
     def _has_contact(self) -> bool:
-        """Returns whether the store is read and the state service answered recently."""
+        """Returns whether the state service was read completely and has answered recently."""
         return self.store.ready and self.context.now < self.store.last_contact + CONTACT_MAX_AGE_S
 
     def _health(self, event: Health) -> None:
--- a/runcourse/core/running_counts.py
+++ b/runcourse/core/running_counts.py
@@ -1,8 +1,8 @@
 """Counts of each job's running tasks, which controllers exchange with their heartbeats.
 
 A heartbeat holds one page of jobs, recently changed ones first; the next heartbeats hold the
-following pages, in repeated rounds. So a heartbeat's size is bounded whatever the number of jobs,
-and the next round makes up for a lost heartbeat.
+following pages. One pass over all jobs is a round, and rounds are repeated. So a heartbeat's size
+is bounded whatever the number of jobs, and the next round makes up for a lost heartbeat.
 """
 
 from __future__ import annotations
@@ -58,7 +58,8 @@
         self._rounds[member] = (present, previous)
 
     def of(self, uid: JobId) -> int:
-        """Returns how many tasks of the job run by its owner's last count, which may be old."""
+        """Returns the number of running tasks of the job as last reported by the controller that
+        owns it; it may be out of date."""
         for present, previous in self._rounds.values():
             count = present.get(uid, previous.get(uid, 0))
             if count:
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -30,10 +30,12 @@
 from .stored_values import LIVE, MAPPING, SHARE, MappingValue, ShareValue
 from .types import Condition, Write
 
-HANDBACK_AFTER_S = 6.0  # for which the home node must have been up, and this node the owner
-HANDBACK_DEADLINE_S = 60.0  # after which silent machines no longer delay the handover
-TAKE_UNOWNED_AFTER_S = 3  # before another node than the home node takes a share without an owner
-TAKEOVER_STAGGER_S = 0.3  # between the attempts of two nodes to take over a share
+# A share is handed back to its home node once that node has been up, and this one has owned the
+# share, for this long.
+HANDBACK_AFTER_S = 6.0
+HANDBACK_DEADLINE_S = 60.0  # since the takeover; then unreachable machines no longer delay it
+TAKE_UNOWNED_AFTER_S = 3  # a node other than the home node takes a never owned share then
+TAKEOVER_STAGGER_S = 0.3  # delay of a takeover for each live node that may try it earlier
 
 
 class OwnedShare:
@@ -46,7 +48,7 @@
         self.epoch = epoch
         self.since = since
         self.settled = False  # every task accepted before the takeover is located
-        self.handing_back = False  # its machines get no commands until that is decided
+        self.handing_back = False  # a handback is in flight: its machines get no commands
         self._attempts = 0
 
     def next_attempt(self) -> Attempt:
@@ -310,7 +312,9 @@
             return
         if self.context.now - owned_share.since < HANDBACK_AFTER_S:
             return
-        # The next owner must locate the share's tasks anew, and would wait for each silent machine.
+        # The handback waits, until HANDBACK_DEADLINE_S after the takeover, while a machine of the
+        # share is unreachable: the new owner must ask every machine for its tasks, and would wait
+        # for that one.
         if (
             not self.all_machines_reachable(share)
             and self.context.now - owned_share.since < HANDBACK_DEADLINE_S
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -23,17 +23,17 @@
 from .types import LATE, Commit, Condition, Follow, Outcome, ReadAll, Write
 
 FRESH_S = 1.5  # maximum age of the read that an answer rests on, when the answer leaves
-GIVE_UP_AFTER_S = 1.0  # without contact, after which queued changes with a deadline are refused
-THROTTLED_S = 0.1  # pause of changes after a 429
+GIVE_UP_AFTER_S = 1.0  # since the last contact; then queued changes with a deadline are refused
+THROTTLED_S = 0.1  # no changes are sent for so long after a 429
 THROTTLED_RATE_FACTOR = 0.7  # applied to the rate of changes after a 429
 MAX_TRIES = 4  # of a change that the state service answers with a 429
-READ_RATE_FRACTION = 0.4  # of the request limit, for the reads of all nodes
+READ_RATE_FRACTION = 0.4  # part of the request limit that the reads of all nodes together use
 WRITE_RATE_FRACTION = 0.95  # of the write limit, divided evenly among all nodes
 MAX_WRITE_RATE_FRACTION = 0.9  # of the write limit, for one node while the others write less
 MIN_WRITE_BURST = 4.0  # changes
 RATE_RAISE_PER_S = 0.5  # growth of the write rate, as a fraction of this node's even part
-MAX_RATE_RAISE_S = 0.2  # time that one raise counts at most
-FIRST_READ_RETRY_S = 0.2  # after a failure, until everything has been read once
+MAX_RATE_RAISE_S = 0.2  # maximum time since the last raise that counts in a raise
+FIRST_READ_RETRY_S = 0.2  # between a failure of the read of all keys and its retry
 FAILED_READ_GAP_S = 0.15  # between reads while the newest answer was a failure
 
 Listener = Callable[[str, Any, Stamp], None]
@@ -278,7 +278,8 @@
 
     @property
     def backlog(self) -> float:
-        """Returns how many seconds a user's change queued now would wait at least."""
+        """Returns how many seconds of the write rate the queued changes take that precede a
+        user's change queued now."""
         return sum(self._queued[: self.USER + 1]) / self._write_budget.rate
 
     def max_changes(self, seconds: float) -> int:
--- a/runcourse/core/stored_values.py
+++ b/runcourse/core/stored_values.py
@@ -21,9 +21,9 @@
 MAPPING = ROOT + "mapping"
 MACHINE = ROOT + "machine/"
 FORMAT = ROOT + "format"  # version of the formats that all members can read
-TYPES = ROOT + "types/"  # the catalogue, where it does not fit into one value
+TYPES = ROOT + "types/"  # machine types, in several values where one is too small
 CATALOG = ROOT + "catalog"
-DIVISION = ROOT + "division"  # of the fleet among organisations
+DIVISION = ROOT + "division"  # the organisations' limits, which divide the fleet among them
 
 FIRST_VERSION = 1  # of a member whose live key names no version
 
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -125,7 +125,7 @@
 
 
 class Outcome(msgspec.Struct):
-    """The result of an effect. Its `tag` is that of the effect: the callback that handles it.
+    """The result of an effect. `tag` is the effect's own `tag`: the callback that takes the result.
 
     Status 0 means no answer: with `sent` false the request was certainly never sent, with `sent`
     true it may have been carried out.
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -25,8 +25,8 @@
 from .types import Cancel, Condition, Poll, SendToPeer, Submit, UserAnswer, Write
 
 CHANGE_DEADLINE_S = 3.0  # a change that is not sent within this time is refused
-MAX_BACKLOG_S = 0.7  # of changes that wait for the write budget; beyond it, submissions are refused
-FAIR_BACKLOG_S = 0.35  # beyond it, those of a team with more than half of what waits are refused
+MAX_BACKLOG_S = 0.7  # submissions are refused if queued changes take longer than this to send
+FAIR_BACKLOG_S = 0.35  # the same, for a team with more than half of the queued submissions
 RETRY_AFTER_S = 1.0  # sent with most refusals
 MAX_CANCEL_TRIES = 3
 
@@ -298,8 +298,9 @@
             else:
                 self.refuse(request, 503, RETRY_AFTER_S, "not stored")
 
-        # The owner's live key must exist: then the owner reads the cancellation, or it loses its
-        # authority in time.
+        # Conditional on the owner's live key (attached to its lease) being unchanged: so the owner
+        # is a running process, which reads the cancellation from the store or stops acting when its
+        # lease ends, unless peers grant it more time (their grants carry the cancellation).
         self.store.commit(
             [Condition(key, job.stamp), self.store.expect(LIVE + owner)],
             [Write(key, final_value(job.spec, "cancelled", self.context.limits.value_bytes))],
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -16,7 +16,9 @@
 from .stored_values import FIRST_VERSION, FORMAT, LIVE, FormatValue
 from .types import Condition, Write
 
-FINISHED_PARTS_VERSION = 2  # pages of finished tasks and catalogues in several values
+FINISHED_PARTS_VERSION = (
+    2  # pages of finished tasks, and catalogues, may be split into several stored values
+)
 PAGED_LOADS_VERSION = 3  # load reports and running counts sent in parts
 DIVISIONS_VERSION = 4  # the stored division, and requests to owners that refer to it
 VERSION = DIVISIONS_VERSION
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -13,7 +13,7 @@
 from .shares import Shares
 from .types import Command, Order, Outcome, Probe, Report
 
-GAP_PER_TASK_S = 0.004  # between two commands to a machine, for each task placed there
+GAP_PER_TASK_S = 0.004  # minimum between two commands to a machine, per task placed there
 PROBE_GAP_S = 1.0  # between two probes of one worker
 FAILED_GAP_S = 1.0  # after a command without an answer
 
@@ -36,10 +36,10 @@
         self.jobs = jobs
         self.machines = machines
         self.apply_report = apply_report
-        self._dirty: dict[MachineId, None] = {}  # a command may be due, in this order
-        # Suspected machines that wait for a connection.
+        self._dirty: dict[MachineId, None] = {}  # machines to check for due commands, in order
+        # Suspected machines (not proved to be reachable) that wait for a connection.
         self._waiting_suspected: dict[MachineId, None] = {}
-        self._paused_until: dict[MachineId, Instant] = {}  # a command may be due, but not earlier
+        self._paused_until: dict[MachineId, Instant] = {}  # earliest time of the next command
         self._pause_ends: list[tuple[Instant, MachineId]] = []  # heap of those; some outdated
         # Commands and probes are bounded by the sockets reserved for them. Machines that may not
         # answer use at most half of these, so that the others never wait for them.
@@ -70,8 +70,8 @@
     def probe(self, machine: Machine) -> None:
         """Requests the worker's state, which takes precedence over its reports.
 
-        Does nothing if a probe is in flight or was sent just now, or if too many machines that may
-        not answer hold connections.
+        Does nothing if a probe is in flight or was sent just now, or if half of the allowed
+        connections are already open to machines that may not answer.
         """
         now = self.context.now
         if (
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -32,9 +32,9 @@
 log = logging.getLogger("runcourse")
 
 TICK_INTERVAL_S = 0.05
-USER_TIMEOUT_S = 3.5
-DIVISION_TIMEOUT_S = 4.5
-REPORT_TIMEOUT_S = 3.5
+USER_TIMEOUT_S = 3.5  # for the core's answer to a user; then 503
+DIVISION_TIMEOUT_S = 4.5  # for the core's answer to an operator; then "unknown"
+REPORT_TIMEOUT_S = 3.5  # for the core's answer to a worker's report; then 503
 RETRY_AFTER_S = 1.0
 INTERNAL_HTTP_CONNECTIONS = 8
 REPORT_PATH = "/agent/beat"
--- a/runcourse/net/full_read.py
+++ b/runcourse/net/full_read.py
@@ -15,7 +15,7 @@
 PAGES_PER_FOLLOW = 8  # pages between two reads of the changes made meanwhile
 THROTTLED_STATUS = 429
 THROTTLE_DELAY_S = 0.1
-MAX_THROTTLE_RETRIES = 50  # in one attempt
+MAX_THROTTLE_RETRIES = 50  # waits of THROTTLE_DELAY_S after a 429 in one attempt
 TOO_OLD_STATUS = 410  # the changes since the revision are no longer kept
 
 PageResult = tuple[int, state_messages.Page | None, bool]
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -19,9 +19,9 @@
 
 READ_SIZE_BYTES = 65536
 MAX_HEAD_BYTES = 16 * 1024
-IDLE_TIMEOUT_S = 75.0
+IDLE_TIMEOUT_S = 75.0  # without a request on a connection; then the server closes it
 IDLE_CHECKS_PER_TIMEOUT = 8
-BODY_TIMEOUT_S = 10.0
+BODY_TIMEOUT_S = 10.0  # for each read of a request's body
 LISTEN_BACKLOG = 256
 CACHED_HEADS = 1024
 DEFAULT_CONNECTIONS = 4
--- a/runcourse/net/peers.py
+++ b/runcourse/net/peers.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger("runcourse.peers")
 
-MAX_QUEUED_BYTES = 4 << 20  # for one peer; a plan for a large fleet is many messages
+MAX_QUEUED_BYTES = 4 << 20  # for one peer; the leader's plan for a large fleet is many messages
 MAX_LINE_BYTES = 1 << 20
 MAX_UNSENT_BYTES = 1 << 20  # in the socket's write buffer; beyond it the connection is closed
 CONNECT_TIMEOUT_S = 1.5
