--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -4,7 +4,8 @@
 that succeeded and a catch-up read that succeeded. After that it may act only while a
 majority, itself included, grants it more time. A node grants time only while it has no
 contact with the state service itself: during such an outage the leases do not change, and no
-other node can have taken over a share.
+other node can have taken over a share. An incarnation is the identity of a process from its start,
+or from its last loss of the lease, to the next loss.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 LEASE_MARGIN_S = 0.05  # this node stops acting so long before its lease ends
 RENEWALS_PER_TTL = 4
 RETRY_S = 0.2  # after a request for the lease or the live key that failed
-REQUEST_GRANTS_TTL_FRACTION = 0.45  # remaining share of the time-to-live at which requests start
+REQUEST_GRANTS_TTL_FRACTION = 0.45  # requests start when this part of it remains
 GRANT_REQUEST_INTERVAL_S = 0.4
 MAX_OPEN_GRANT_REQUESTS = 20  # responses to older requests are ignored
 # Maximum age of the last failed request for which a grant is given; longer than the timeout of
 # catch-up reads and lease renewals.
 RECENT_FAILURE_S = 2.0
 RECENT_CONTACT_S = 1.0  # a node with a successful request within this time gives no grants
-MAX_CANCELLATIONS_IN_GRANT = 200  # with more, the grant is withheld
+MAX_CANCELLATIONS_IN_GRANT = 200  # a grant that would have to list more is refused
 INCARNATION_BITS = 64
 REQUEST_NUMBER_BITS = 48
 MS_PER_S = 1000
@@ -281,7 +282,10 @@
         )
 
     def handle_grant_request(self, member: Member, message: GrantRequest) -> None:
-        """Answers a peer without contact, which requests a quorum grant."""
+        """Grants a peer more time, or refuses.
+
+        The response lists the cancellations that the peer may have missed.
+        """
         now = self.context.now
         incarnation = message.incarnation
         # One failure amid successes is no outage, and must not prolong a peer's authority.
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -64,8 +64,9 @@
         self._inquiries: dict[JobId, _Inquiry] = {}
         self._heartbeat_at: dict[Member, Instant] = {}
         self._applied_by_peer: dict[Member, Stamp] = {}  # revision up to which peers have read
-        # Requests to peers of the former version, which doesn't acknowledge cancellations but lists
-        # them in its responses; by number.
+        # Grant requests by number, with the job whose cancellation they ask for. They go to peers
+        # of the former version, which doesn't acknowledge cancellations but lists them in its
+        # grant responses.
         self._grant_requests: dict[int, JobId] = {}
         self._request_number = context.rng.getrandbits(REQUEST_NUMBER_BITS)
 
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -17,14 +17,15 @@
 FAILING_HEALTHY_MACHINES = 2
 FAILING_ATTEMPTS = 6
 FAILING_FEW_MACHINES = 2
-FIRST_RETRY_DELAY_S = 2.0  # before a faulty job's next try of one task; doubles
+FIRST_RETRY_DELAY_S = 2.0  # before one task of a faulty job is retried; doubles each time
 MAX_RETRY_DELAY_S = 60.0
 MAX_RETRY_DOUBLINGS = 8
-FAULTY_MACHINE_JOBS = 2  # a machine is faulty if so many jobs failed on it that are not faulty
+FAULTY_MACHINE_JOBS = 2  # a machine is faulty if so many jobs, not at fault, failed on it
 FAULT_PERIOD_S = 120.0  # in which these failures count, and for which the machine is quarantined
 FAILS_EVERYWHERE_REASON = "fails wherever it starts"
 FIRST_FAILURE_PAUSE_S = 5.0  # a machine gets no new tasks for so long after a job first failed
-# A task runs past its job's failures after this factor of their longest run time and a margin.
+# A task that runs for longer than this factor times the longest time to a failure of its job, and
+# a margin, counts as a success.
 RUN_PAST_FACTOR = 1.5
 RUN_PAST_MARGIN_S = 1.0
 
@@ -40,8 +41,9 @@
     def record_failure(self, work: Work, placement: Placement) -> None:
         """Records the failure of an attempt, and quarantines its machine or delays its job.
 
-        A machine on which tasks of several jobs fail is quarantined. A job that fails on several
-        machines and succeeds on none fails everywhere, which is no machine's fault.
+        A machine on which tasks of several jobs fail, or repeatedly those of a job that succeeds
+        elsewhere, is quarantined; after the first failure of a job it pauses. A job that fails on
+        several machines and succeeds on none fails everywhere, which is no machine's fault.
         """
         now = self.context.now
         machine, uid = placement.machine, work.job.uid
--- a/runcourse/core/ids.py
+++ b/runcourse/core/ids.py
@@ -8,18 +8,18 @@
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
 Member = NewType("Member", str)
-Incarnation = NewType("Incarnation", str)
+Incarnation = NewType("Incarnation", str)  # random id of a process; new after a lost lease
 Team = NewType("Team", str)
 
 ShareNo = NewType("ShareNo", int)
 Stamp = NewType("Stamp", int)  # revision of a key's latest change; 0: the key does not exist
 Token = NewType("Token", int)  # fencing token of the commands to one worker
-Attempt = NewType("Attempt", int)
-Session = NewType("Session", int)
+Attempt = NewType("Attempt", int)  # number of one start of a task
+Session = NewType("Session", int)  # a worker's number; raised when its lease has expired
 
 Instant = NewType("Instant", float)  # seconds on this process's steady clock
 
-COUNTER_BITS = 20  # low bits of a token or attempt; the epoch is above them
+COUNTER_BITS = 20  # low bits of a token or attempt; above them the epoch, a stamp
 PARSED_TASKS_CACHED = 16384
 ABSENT = Stamp(0)
 NO_TOKEN = Token(0)
--- a/runcourse/core/jobs.py
+++ b/runcourse/core/jobs.py
@@ -22,7 +22,7 @@
 STAGE_GROWTH_BYTES = 80  # growth of a job's value after its acceptance, kept free
 DIGEST_BYTES = 16
 MAX_TASKS = 100_000
-RANKS = {"prod": 0, "urgent": 1, "normal": 2, "idle": 3}
+RANKS = {"prod": 0, "urgent": 1, "normal": 2, "idle": 3}  # the lowest has the highest priority
 UID = re.compile(r"j-[0-9]{1,18}\Z", re.ASCII)
 
 
@@ -92,7 +92,7 @@
         self.size = spec.size
         self.stage = "accepted"
         self.stamp = stamp
-        self.accepted = stamp  # revision of its acceptance
+        self.accepted = stamp  # revision of the first value read: its acceptance, unless final
         self.cancelled = ABSENT  # revision of its cancellation, once a read returned it
         self.submitted = 0.0  # when this node first read the job, on its steady clock
         self.done_bits = 0  # one bit for each task that is stored as finished
@@ -125,7 +125,7 @@
     def __init__(self) -> None:
         self._jobs: dict[JobId, Job] = {}
         self._open: dict[JobId, Job] = {}
-        # The number of open jobs, by their team and the CPUs of one task.
+        # The number of open jobs (neither done nor cancelled), by team and CPUs of one task.
         self._open_task_sizes: Counter[tuple[str, float]] = Counter()
         # Bit mask of finished tasks, for jobs whose submission was not read from the store yet.
         self._early_pages: dict[JobId, int] = {}
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -35,7 +35,7 @@
     """The index of a share's machines; each machine notifies it of its changes."""
 
     def room_changed(self, machine: Machine, previous_level: int) -> None:
-        """Called when the machine's room level changed from `previous_level`."""
+        """Called when the room level (whole free CPUs) has changed from `previous_level`."""
 
     def allocation_changed(self, cpus: float, service_cpus: float) -> None:
         """Called with changes of the CPUs allocated to all tasks and to services."""
@@ -47,7 +47,7 @@
         """Called when the lease of the machine's worker counts from now."""
 
     def became_suspected(self, machine: Machine) -> None:
-        """Called when the machine counts as unreachable from now on."""
+        """Called when the machine becomes suspected: it counts as unreachable from now on."""
 
     def became_unsettled(self, machine: Machine) -> None:
         """Called when the machine becomes unsettled: it may hold tasks of an earlier owner."""
@@ -121,9 +121,8 @@
         self.start_report_seq = -1
         self.stopping = False
         self.grace_s = 0.0
-        self.forced = (
-            False  # a further stop order, with a shorter grace, goes out although it saves
-        )
+        # A later stop order has a shorter grace; it is sent even while the task saves its progress.
+        self.forced = False
         self.fence = Token(0)  # token raised when an unlisted task is stopped; 0: none
         self.since = now
         self.ran_since = Instant(0.0)
@@ -135,7 +134,8 @@
 
 
 def room_level(cpus: float) -> int:
-    """Returns the index level of a machine with so many free CPUs, tolerating rounding errors."""
+    """Returns the whole number of free CPUs, by which machines are indexed; tolerates rounding
+    errors."""
     return math.floor(cpus + ROOM_TOLERANCE_CPUS)
 
 
@@ -203,14 +203,14 @@
         # Session and sequence number of the newest report; answers to commands and probes
         # don't count.
         self.report_number = (Session(0), -1)
-        self.min_report_token = Token(0)  # a lower token is from before the worker's restart
+        self.min_report_token = Token(0)  # a report with a lower one precedes a restart
         self.probed_at = LONG_AGO
         self.probe_in_flight = False
         self.last_reached_at = LONG_AGO  # when the worker last proved to be reachable
         self.token_seen = Token(0)
         self.counter = 0  # low part of the token; raised to invalidate earlier commands
-        # A machine recorded after the takeover can't hold tasks of an earlier owner: it was
-        # new then, or was transferred while empty.
+        # Settled: it holds no task of an earlier owner that this one does not know. A machine
+        # recorded after the takeover is: it was new then, or was transferred while empty.
         self.settled = record.stamp > owned_share.epoch
         self.expired_session = Session(0)  # newest session whose lease expired
         self.last_answer_at = now if self.settled else owned_share.since
@@ -242,7 +242,7 @@
         self.added_at = now
         self.draining_until = now  # until then its replicas move away and it gets no new tasks
         self.service_cpus = 0.0  # of services placed on it
-        self.moving = False  # a change of its record is in flight: it gets no new tasks
+        self.moving = False  # a write of its record is in flight: it gets no new tasks
 
     def unsettle(self) -> None:
         """Records that the machine may hold unreported tasks of an earlier owner.
@@ -375,7 +375,7 @@
 
     @property
     def busy(self) -> bool:
-        """Returns whether tasks are, may be, or may still be started on the machine."""
+        """Returns whether the machine runs tasks, may run some, or may still be ordered to."""
         # A machine that never reported holds nothing. It must be possible to return a machine
         # that never came up, or it is paid for indefinitely.
         return (
--- a/runcourse/core/machine_groups.py
+++ b/runcourse/core/machine_groups.py
@@ -1,4 +1,7 @@
-"""Counts of recorded machines by share, type, zone, spot or not, and leaving or not."""
+"""Counts of recorded machines by share, type, zone, spot or not, and leaving or not.
+
+They are updated as the records change. A leaving machine is about to be returned to the cloud.
+"""
 
 from __future__ import annotations
 
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -33,19 +33,19 @@
 MAX_LISTED_TASKS = 400
 TRANSFERRED_STATE_MAX_AGE_S = 5.0
 
-# A machine may be silent or unreached for the longest of: these report intervals; this fraction of
-# its worker's lease; the time that a worker cut off from this node needs to report through a peer
-# (a lost report, RELAY_DELAY_S to try another node, a further report), up to a larger fraction of
-# the lease.
+# A machine may be silent, or report without proving that it is reachable, for the longest of: these
+# report intervals; this fraction of its worker's lease; the time that a worker cut off from this
+# node needs to report through a peer (a lost report, RELAY_DELAY_S to try another node, a further
+# report), up to a larger fraction of the lease.
 SILENCE_REPORT_INTERVALS = 2.5
 SILENCE_LEASE_FRACTION = 0.45
 RELAY_DELAY_S = 1.75
 RELAY_REPORT_INTERVALS = 1.25
 RELAY_LEASE_FRACTION = 0.7
 
-# Added to LATE_REPORT_INTERVALS report intervals without a message:
-OVERDUE_MARGIN_S = 1.5  # after which a machine's report counts as overdue
-USABLE_MARGIN_S = 1.0  # after which a machine gets no new tasks
+# Added to LATE_REPORT_INTERVALS report intervals: the time since a machine's last message
+OVERDUE_MARGIN_S = 1.5  # after which its report counts as overdue
+USABLE_MARGIN_S = 1.0  # after which it gets no new tasks
 
 # Called with a machine's id and its record before and after a change.
 RecordWatcher = Callable[[MachineId, Record | None, Record | None], None]
@@ -72,7 +72,7 @@
         self.jobs = jobs
         self.observer = observer
         self.records: dict[MachineId, Record] = {}
-        self.groups = MachineGroups()  # of all records
+        self.groups = MachineGroups()  # counts of all records by group
         self.leaving: dict[MachineId, None] = {}  # recorded as about to be returned
         self.watch_record: RecordWatcher = _ignore_record  # set by the leader's fleet planning
         self.machines: dict[MachineId, Machine] = {}
--- a/runcourse/core/node.py
+++ b/runcourse/core/node.py
@@ -134,7 +134,8 @@
         self._heartbeat_sent_at = LONG_AGO
         # Machines whose reports are overdue at their owner, by owner.
         self._silent_machines: dict[Member, set[str]] = {}
-        self._redirected_at: dict[MachineId, Instant] = {}  # or last relayed
+        # When a worker was last redirected to its owner, or its report relayed.
+        self._redirected_at: dict[MachineId, Instant] = {}
         self._relaying_since: dict[MachineId, Instant] = {}
         # Request and deadline of each relayed report without a response, by its number.
         self._relays: dict[int, tuple[int, Instant]] = {}
@@ -354,8 +355,9 @@
     def _redirect_or_relay(self, received: ReportReceived, share: ShareNo) -> None:
         """Redirects the worker to its owner, or relays its report to the owner.
 
-        A worker that comes back soon after a redirect can't reach the owner, so its reports are
-        relayed over the connection between the controllers.
+        A worker that comes back soon after a redirect, or whose reports are overdue at the owner,
+        presumably can't reach the owner, so its reports are relayed over the connection between the
+        controllers.
         """
         now = self.context.now
         owner = self.shares.live_owner(share)
--- a/runcourse/core/reports.py
+++ b/runcourse/core/reports.py
@@ -15,9 +15,9 @@
 REPORT_TIMEOUT_S = 4.0  # how long a worker waits for the answer to a report
 RETRY_AFTER_S = 1.0  # how long it then waits before it tries the next node
 
-# A longer pause between two reports means that the worker may have tried other nodes meanwhile:
-# a report without an answer takes this part of its timeout and retry delay, a regular report
-# comes within so many report intervals and a margin.
+# A worker may have tried other nodes between two reports if the pause was longer than both: this
+# part of the timeout and retry delay that a report without an answer takes; this many report
+# intervals and a margin, within which a regular report comes.
 UNANSWERED_FRACTION = 0.95
 LATE_REPORT_INTERVALS = 1.25
 LATE_MARGIN_S = 0.75
@@ -195,10 +195,11 @@
         self.commands.enqueue(machine.id)
 
     def _check_orders(self, machine: Machine, report: Report) -> None:
-        """Suspects the machine if the start orders of an earlier answer had no effect.
+        """Marks the machine as suspected (possibly unreachable) if start orders had no effect.
 
-        A worker sends its next report only after it got the answer to the previous one, or gave
-        up waiting. If a task of those orders was never listed, that answer did not arrive.
+        The orders were in an earlier answer. A worker sends its next report only after it got the
+        answer to the previous one, or gave up waiting. If a task of those orders was never listed,
+        that answer did not arrive.
         """
         listed = {(entry.task, entry.attempt) for entry in report.tasks}
         if any(
@@ -210,7 +211,7 @@
             self.commands.suspect(machine)
 
     def note_route(self, machine: Machine, relayed: bool, previous_message_at: Instant) -> None:
-        """Suspects the machine if the route of its report means that an answer may be lost.
+        """Marks the machine as suspected if its report's route means that an answer may be lost.
 
         That is so if a peer relayed the report, or if it came after a pause since
         `previous_message_at` that is long enough for the worker to have tried other nodes.
--- a/runcourse/core/running_counts.py
+++ b/runcourse/core/running_counts.py
@@ -20,7 +20,7 @@
     def __init__(self, counts: Mapping[JobId, int], changed: dict[JobId, None]) -> None:
         self._counts = counts  # of jobs with running tasks
         self._changed = changed  # jobs whose count changed; emptied here
-        self._remaining: list[JobId] = []  # in the present round
+        self._remaining: list[JobId] = []  # jobs that the present round has not sent yet
 
     def next(self) -> tuple[bool, dict[JobId, int]]:
         """Returns whether a round begins, and the counts of the next page."""
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -1,7 +1,8 @@
 """Ownership of shares: the table of owners, takeover and handover.
 
-There are as many shares as nodes, and each has a home node. The stamp of `share/N` is the
-ownership epoch: every write of an owner has it among its conditions.
+A share is a part of the fleet and the teams whose jobs run there; the node that owns it commands
+its machines. There are as many shares as nodes, and each has a home node. The stamp of `share/N`
+is the ownership epoch: every write of an owner has it among its conditions.
 """
 
 from __future__ import annotations
@@ -33,8 +34,8 @@
 # A share is handed back to its home node once that node has been up, and this one has owned the
 # share, for this long.
 HANDBACK_AFTER_S = 6.0
-HANDBACK_DEADLINE_S = 60.0  # since the takeover; then unreachable machines no longer delay it
-TAKE_UNOWNED_AFTER_S = 3  # a node other than the home node takes a never owned share then
+HANDBACK_DEADLINE_S = 60.0  # after a takeover; then unreachable machines delay no handback
+TAKE_UNOWNED_AFTER_S = 3  # then other nodes take a share that its home node never took
 TAKEOVER_STAGGER_S = 0.3  # delay of a takeover for each live node that may try it earlier
 
 
@@ -47,7 +48,7 @@
         self.number = number
         self.epoch = epoch
         self.since = since
-        self.settled = False  # every task accepted before the takeover is located
+        self.settled = False  # no machine may hold an unknown task of an earlier owner
         self.handing_back = False  # a handback is in flight: its machines get no commands
         self._attempts = 0
 
@@ -83,13 +84,13 @@
         self._on_gain = on_gain
         self._on_loss = on_loss
         self._takeovers_pending: set[ShareNo] = set()  # requested, not answered yet
-        self._former_owner: dict[ShareNo, Member] = {}  # of a share being taken over
+        self._former_owner: dict[ShareNo, Member] = {}  # by share being taken over
         self._share_by_team: dict[Team, ShareNo] = {}
         self._ownerless_since: dict[ShareNo, Instant] = {}
         self._live_since: dict[Member, tuple[Incarnation, Instant]] = {}
         # Both are set by the node. The first returns the teams in the order in which they are
         # assigned to the given number of shares; empty: the order of their names. The second
-        # returns whether all machines of a share report.
+        # returns whether all machines of a share that ever came up report and are reachable.
         self.team_order: Callable[[int], list[str]] = lambda shares: []
         self.all_machines_reachable: Callable[[ShareNo], bool] = lambda share: True
         store.listen(SHARE, self._changed)
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -1,8 +1,9 @@
 """This node's copy of the state service, kept by catch-up reads, and the way to change it.
 
-A catch-up read (`Follow` without waiting) begun after a request arrived makes the copy
-recent enough to answer it; one read serves all requests that wait. Reads for requests keep a
-minimum interval. Changes are queued by urgency and sent within a token bucket.
+A catch-up read (`Follow`, answered at once with the changes since the last read) begun after a
+request arrived makes the copy recent enough to answer it; one read serves all requests that wait.
+Reads for requests keep a minimum interval. Changes are queued by urgency and sent within a token
+bucket.
 """
 
 from __future__ import annotations
@@ -26,12 +27,13 @@
 GIVE_UP_AFTER_S = 1.0  # since the last contact; then queued changes with a deadline are refused
 THROTTLED_S = 0.1  # no changes are sent for so long after a 429
 THROTTLED_RATE_FACTOR = 0.7  # applied to the rate of changes after a 429
-MAX_TRIES = 4  # of a change that the state service answers with a 429
+MAX_TRIES = 4  # sendings of a change that the state service answers with a 429
 READ_RATE_FRACTION = 0.4  # part of the request limit that the reads of all nodes together use
 WRITE_RATE_FRACTION = 0.95  # of the write limit, divided evenly among all nodes
 MAX_WRITE_RATE_FRACTION = 0.9  # of the write limit, for one node while the others write less
-MIN_WRITE_BURST = 4.0  # changes
-RATE_RAISE_PER_S = 0.5  # growth of the write rate, as a fraction of this node's even part
+MIN_WRITE_BURST = 4.0  # changes; minimum capacity of the token bucket for writes
+# Growth of the write rate while changes wait for it, as a fraction of this node's even part.
+RATE_RAISE_PER_S = 0.5
 MAX_RATE_RAISE_S = 0.2  # maximum time since the last raise that counts in a raise
 FIRST_READ_RETRY_S = 0.2  # between a failure of the read of all keys and its retry
 FAILED_READ_GAP_S = 0.15  # between reads while the newest answer was a failure
@@ -92,7 +94,10 @@
         self.at = now
 
     def try_take(self, now: Instant, cost: float) -> float:
-        """Takes `cost` tokens and returns 0, or returns the seconds until they can be taken."""
+        """Takes `cost` tokens and returns 0, or returns the seconds until they can be taken.
+
+        A cost above the burst is taken from a full bucket, whose level becomes negative.
+        """
         self.refill(now)
         if self.level >= min(cost, self.burst):
             self.level -= cost
@@ -136,7 +141,10 @@
     # --- local copy ----------------------------------------------------------------------
 
     def listen(self, prefix: str, listener: Listener) -> None:
-        """Calls the listener with each change under the prefix from now on."""
+        """Calls the listener with each change under the prefix from now on.
+
+        A change goes only to the first listener whose prefix its key has.
+        """
         self._listeners.append((prefix, listener))
 
     def stamp(self, key: str) -> Stamp:
@@ -278,8 +286,8 @@
 
     @property
     def backlog(self) -> float:
-        """Returns how many seconds of the write rate the queued changes take that precede a
-        user's change queued now."""
+        """Returns the seconds for which the write rate is used up by queued changes that precede
+        a user's change queued now."""
         return sum(self._queued[: self.USER + 1]) / self._write_budget.rate
 
     def max_changes(self, seconds: float) -> int:
--- a/runcourse/core/stored_values.py
+++ b/runcourse/core/stored_values.py
@@ -63,7 +63,7 @@
     type: str
     zone: str
     spot: bool
-    leaving: bool
+    leaving: bool  # it is about to be returned to the cloud and gets no new tasks
 
 
 class GoneMachine(Struct, frozen=True):
@@ -88,7 +88,10 @@
 
 
 class Division(Struct, frozen=True):
-    """The limits of all organisations; version 0 is that of the entitlements file."""
+    """The limits that divide the fleet among organisations.
+
+    Version 0 is that of the entitlements file.
+    """
 
     version: int
     limits: list[OrganisationLimits]
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -204,7 +204,7 @@
 
 
 class Write(NamedTuple):
-    """A value for a key, attached to a lease if one is given; None drops the key."""
+    """A value for a key, attached to a lease if one is given; None deletes the key."""
 
     key: str
     value: Any
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -28,7 +28,7 @@
 MAX_BACKLOG_S = 0.7  # submissions are refused if queued changes take longer than this to send
 FAIR_BACKLOG_S = 0.35  # the same, for a team with more than half of the queued submissions
 RETRY_AFTER_S = 1.0  # sent with most refusals
-MAX_CANCEL_TRIES = 3
+MAX_CANCEL_TRIES = 3  # commits of a cancellation whose conditions are not met
 
 
 class Users:
--- a/runcourse/core/versions.py
+++ b/runcourse/core/versions.py
@@ -16,11 +16,9 @@
 from .stored_values import FIRST_VERSION, FORMAT, LIVE, FormatValue
 from .types import Condition, Write
 
-FINISHED_PARTS_VERSION = (
-    2  # pages of finished tasks, and catalogues, may be split into several stored values
-)
+FINISHED_PARTS_VERSION = 2  # finished tasks and catalogues split into several stored values
 PAGED_LOADS_VERSION = 3  # load reports and running counts sent in parts
-DIVISIONS_VERSION = 4  # the stored division, and requests to owners that refer to it
+DIVISIONS_VERSION = 4  # stored limits of organisations, and requests to owners by them
 VERSION = DIVISIONS_VERSION
 
 
@@ -48,7 +46,8 @@
 
     @property
     def all_read_parts(self) -> bool:
-        """Returns whether it is recorded that every member reads pages in several values."""
+        """Returns whether it is recorded that every member reads finished tasks that are split into
+        several stored values."""
         return self.store.get(FORMAT) is not None
 
     @property
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -177,7 +177,7 @@
                 self._push_one(machine)
 
     def _suspected_limit_reached(self) -> bool:
-        """Returns whether machines that may not answer use all connections open to them."""
+        """Returns whether machines that may not answer use half of the connections, their limit."""
         return 2 * self._open_suspected >= self._max_open
 
     def _push_one(self, machine: Machine) -> None:
--- a/runcourse/daemon.py
+++ b/runcourse/daemon.py
@@ -35,8 +35,8 @@
 USER_TIMEOUT_S = 3.5  # for the core's answer to a user; then 503
 DIVISION_TIMEOUT_S = 4.5  # for the core's answer to an operator; then "unknown"
 REPORT_TIMEOUT_S = 3.5  # for the core's answer to a worker's report; then 503
-RETRY_AFTER_S = 1.0
-INTERNAL_HTTP_CONNECTIONS = 8
+RETRY_AFTER_S = 1.0  # sent to a user whose request was not answered in time
+INTERNAL_HTTP_CONNECTIONS = 8  # for metrics, on the internal address
 REPORT_PATH = "/agent/beat"
 GC_THRESHOLDS = (10_000, 20, 20)  # allocations, then collections of the generation below
 LOG_LEVELS = {
@@ -185,7 +185,7 @@
         raise TypeError(f"unknown effect {effect!r}")
 
     def reload(self) -> dict[str, Any]:
-        """Reads the policy's file again; with a faulty file the old settings remain in force."""
+        """Reads the placement policy's file again; with a faulty one the old settings stay."""
         if self._policy_file is None:
             return {"error": "no policy file was named when this controller was started"}
         try:
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -32,7 +32,7 @@
 CLOUD_RATE_FRACTION = 0.8  # of the cloud's request limit
 COMMAND_REFUSED_STATUS = 409  # stale token or other session; the body is a report
 
-Result = tuple[int, Any, bool]
+Result = tuple[int, Any, bool]  # status, decoded answer, whether the request may have been sent
 
 
 class ServiceClient:
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -26,7 +26,8 @@
 CACHED_HEADS = 1024
 DEFAULT_CONNECTIONS = 4
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
-# After this many connections closed over the path's limit, the oldest kept one is closed too.
+# After this many connections closed because the limit of `limited_path` was reached, the oldest
+# kept one is closed too.
 CLOSED_PER_ROTATION = 16
 REASON_PHRASES = {
     200: b"OK",
--- a/runcourse/wire/__init__.py
+++ b/runcourse/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Encoding and decoding of messages; the outer names of fields appear only in this package."""
+"""Encoding and decoding of messages; the names of fields on the wire appear only here."""
--- a/runcourse/wire/cloud_messages.py
+++ b/runcourse/wire/cloud_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the cloud's API; their outer field names appear only in this module."""
+"""Messages of the cloud's API; their field names on the wire appear only in this module."""
 
 from __future__ import annotations
 
--- a/runcourse/wire/codec.py
+++ b/runcourse/wire/codec.py
@@ -10,7 +10,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_TEXT_LENGTH = 200  # characters
-MAX_AMOUNT = 1e9
+MAX_AMOUNT = 1e9  # of CPUs, GB, seconds or a price in a message
 CONTENT_TYPE = "application/msgpack"
 
 
--- a/runcourse/wire/messages.py
+++ b/runcourse/wire/messages.py
@@ -1,4 +1,4 @@
-"""Messages of users and workers; their outer field names and values appear only in this module.
+"""Messages of users and workers; their names and values on the wire appear only in this module.
 
 Incoming bodies are MessagePack. msgspec checks them against the structs below, and the functions
 convert them to the types of the core. A message that does not match raises `Malformed`.
--- a/runcourse/wire/peer_messages.py
+++ b/runcourse/wire/peer_messages.py
@@ -1,8 +1,9 @@
 """Messages between controllers: JSON lines, one typed struct for each kind.
 
-Their outer field names appear only in this module. The tag `t` names the kind. An attribute whose
-outer name in former versions differs keeps that name by `field(name=...)`. A new field must have a
-default, so that a line of a former version stays readable; unknown fields are ignored.
+Their field names on the wire appear only in this module. The tag `t` names the kind. An
+attribute that former versions name differently on the wire keeps that name by `field(name=...)`. A
+new field must have a default, so that a line of a former version stays readable; unknown fields are
+ignored.
 """
 
 from __future__ import annotations
@@ -63,7 +64,10 @@
 
 
 class GrantRequest(Struct, frozen=True, tag_field="t", tag="vouch?"):
-    """Asks for a quorum grant, as the sender has no contact with the state service."""
+    """Asks for a quorum grant, as the sender has no contact with the state service.
+
+    It is also sent to learn which cancellations a peer of a former version has recorded.
+    """
 
     incarnation: Incarnation = field(name="inc")
     number: int = field(name="n")
@@ -97,11 +101,12 @@
 
 
 class MachineLoad(msgspec.Struct, frozen=True, array_like=True):
-    """An owner's data about one machine; -1 stands for never."""
+    """An owner's data about one machine."""
 
+    # Since its last message, or since the takeover; -1 for a new machine without any message.
     heard_ago_s: float
-    idle_s: float
-    used_cpus: float
+    idle_s: float  # since it became empty; -1 while it is busy
+    used_cpus: float  # allocated to tasks
 
 
 class ShareLoad(Struct, frozen=True, tag_field="t", tag="load", omit_defaults=True):
--- a/runcourse/wire/state_messages.py
+++ b/runcourse/wire/state_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the state service; their outer field names appear only in this module."""
+"""Messages of the state service; their field names on the wire appear only in this module."""
 
 from __future__ import annotations
 
