--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -274,7 +274,7 @@
                 attempt = turn.owned_share.next_attempt()
                 self.fleet.placements.place(work.job, task.number, move.target, attempt)
             else:
-                self._give_up(task, move, "its target cannot take it")
+                self._give_up(task, move, "its target can't take it")
 
     def _can_start(self, turn: Turn, work: Work, task: TaskId, target: Machine) -> bool:
         job = work.job
