--- a/runcourse/config.py
+++ b/runcourse/config.py
@@ -21,9 +21,9 @@
 Count = Annotated[int, Meta(ge=1)]
 
 BYTES_PER_KB = 1024
-PORT_LIMIT = 65536  # exclusive
+PORT_LIMIT = 65536  # every port is below this
 
-# Division of the file descriptors, see `Quota.sockets`.
+# How the file descriptors are divided among their uses, see `Quota.sockets`.
 # Listeners, 14 connections to the state service, 4 to the cloud, 8 of operators, and a few files.
 FIXED_DESCRIPTORS = 40
 DESCRIPTORS_PER_NODE = 4  # two connections to each peer and two from it
@@ -65,7 +65,7 @@
 
 
 class Objective(Struct, frozen=True, rename={"job_class": "class"}):
-    """A service objective; fields that its kind does not use are None."""
+    """A service objective; fields that its type (`kind`) does not use are None."""
 
     kind: Name
     job_class: str | None = None
@@ -144,7 +144,7 @@
 
 
 class Quota(Struct, frozen=True):
-    """The resources that the platform grants the process."""
+    """The CPU, memory and file descriptors that the platform allows the process."""
 
     core_share: Positive = 1.0
     memory_mb: Positive = 256.0
@@ -154,9 +154,9 @@
         """Divides the limit on file descriptors among the uses of sockets.
 
         The fixed descriptors and those of the peers are deducted first. A fifth of the available
-        ones is for commands to workers, half of it for idle connections; three fifths are for
-        workers' reports. The last fifth is reserved for users and health checks, who may also use
-        whatever the reports leave free.
+        ones is for commands to workers, half of that fifth for idle connections; three fifths are
+        for workers' reports. The last fifth is reserved for users and health checks, who may also
+        use whatever the reports leave free.
         """
         available = max(
             self.fd_limit - FIXED_DESCRIPTORS - DESCRIPTORS_PER_NODE * nodes,
--- a/runcourse/core/divisions.py
+++ b/runcourse/core/divisions.py
@@ -24,16 +24,19 @@
 from .types import DivisionAnswer, DivisionRequest, Write
 from .versions import DIVISIONS_VERSION, Versions
 
-MAX_PAST_DIVISIONS = 5  # former divisions kept in the stored value, for a rollback
-MIN_PAST_DIVISIONS = 1  # a change is refused as too large if not even this many fit besides
-CHANGE_TIMEOUT_S = 4.0  # that an operator's request waits for the result of a change
+MAX_PAST_DIVISIONS = 5  # former divisions (limits of organisations) stored besides, for a rollback
+MIN_PAST_DIVISIONS = 1  # a change is refused as too large if not even so many former ones fit
+CHANGE_TIMEOUT_S = 4.0  # for which an operator's request waits for the result of a change
 
 NO_CONTACT = "the state service does not answer"
 UNKNOWN_OUTCOME = "the change got no answer and may yet be carried out: ask again"
 
 
 class Divisions:
-    """Answers operators' requests on the division, and passes stored changes to the policy."""
+    """Answers operators' requests to read or change the division (the organisations' limits).
+
+    Passes stored limits to the entitlement policy.
+    """
 
     def __init__(
         self,
--- a/runcourse/core/entitlement_policy.py
+++ b/runcourse/core/entitlement_policy.py
@@ -49,7 +49,7 @@
 
 
 class EntitlementPolicy(Protocol):
-    """The interface of the core to the entitlements package."""
+    """The interface to the entitlements package, which applies limits to organisations."""
 
     @property
     def active(self) -> bool:
@@ -122,7 +122,7 @@
 
 
 class NoEntitlements:
-    """The default policy: any share may take idle machines of any other, without limit."""
+    """Used without organisations: any share may take idle machines of any other, without limit."""
 
     active = False
     in_force = False
--- a/runcourse/core/leader/adoption.py
+++ b/runcourse/core/leader/adoption.py
@@ -69,8 +69,9 @@
 class Adoption:
     """Records new machines on the leader, in large batches and few concurrent transactions.
 
-    Recording a whole fleet takes the state service about a minute. A large number of records is
-    therefore queued with the urgency of users' changes, so that these don't wait for all of it.
+    Recording a whole fleet takes the state service about a minute. Few records are queued before
+    users' changes (urgency OWNER); many are queued among them (urgency USER), so that users don't
+    wait until all are stored.
     """
 
     def __init__(
--- a/runcourse/core/leader/fleet_planner.py
+++ b/runcourse/core/leader/fleet_planner.py
@@ -105,7 +105,7 @@
         )
         self.spare_capacity = SpareCapacity(context, shares, fleet, self.loads, self.transfers)
         self.versions = versions
-        # Machines of the shares owned here, split into load reports.
+        # By owned share: which of its machines the next load report lists (LOAD_PAGE at most).
         self._pages: dict[ShareNo, LoadPages] = {}
         self._last_plan_at = LONG_AGO
         self._last_load_at = LONG_AGO
--- a/runcourse/core/leader/fleet_view.py
+++ b/runcourse/core/leader/fleet_view.py
@@ -28,11 +28,11 @@
 
 
 class ExpectedMachine(NamedTuple):
-    """A machine with a record from which, as far as the leader knows, its owner got no message."""
+    """A recorded machine whose owner, as far as the leader knows, got no message from it."""
 
     # Start of the wait: when its present record was seen, or as set by `restart_wait`.
     since: Instant
-    confirmed: bool  # whether its owner has reported that it got no message
+    confirmed: bool  # whether the owner has reported that the machine sent it no message
 
 
 # When the leader received an owner's load of a machine, and the load.
--- a/runcourse/core/leader/hiring.py
+++ b/runcourse/core/leader/hiring.py
@@ -23,10 +23,10 @@
 from .pool import Pool
 
 MAX_HIRE = 50  # machines in one request, by the cloud's protocol
-MIN_REFUSAL_PAUSE_S = 4.0  # without requests for an offering after its first refusal
-MAX_REFUSAL_PAUSE_S = 60.0  # upper bound of the pause, however often the offering is refused
+MIN_REFUSAL_PAUSE_S = 4.0  # pause in requests for an offering after the cloud first refuses it
+MAX_REFUSAL_PAUSE_S = 60.0  # bound of that pause, however often the cloud refuses the offering
 REFUSAL_PAUSE_GROWTH = 2  # factor by which the pause grows with each further refusal
-RETRY_HIRE_S = 1.0  # pause of an offering after a throttled request or one of unknown outcome
+RETRY_HIRE_S = 1.0  # pause in requests for an offering after one throttled or of unknown outcome
 MIN_OPEN_HIRES = 2  # requests without an answer that are allowed under any rate limit
 OPEN_HIRES_PER_RPS = 2  # unanswered requests allowed per request/s of the cloud's rate limit
 # Fraction of an on-demand machine's boot time for which spot-capable tasks wait for a spot machine
@@ -35,7 +35,7 @@
 
 
 class HireOption(NamedTuple):
-    """An offering that may be hired for a task."""
+    """An offering (type, zone, spot or on-demand) that may be hired for a task."""
 
     price: float  # per task, with as many tasks of the demand on a machine as fit
     type: MachineType
@@ -83,7 +83,7 @@
         self.adoption = adoption
         self.boot_times = boot_times
         self.pool = pool
-        # For each refused offering, the length of its pause in seconds and when the pause ends.
+        # By offering: length in seconds and end of the last pause in requests for it.
         self.refused: dict[Offering, tuple[float, Instant]] = {}
         self._request_count = 0
         self._open_requests: dict[str, tuple[Rent, list[ShareNo]]] = {}
--- a/runcourse/core/leader/pool.py
+++ b/runcourse/core/leader/pool.py
@@ -16,7 +16,7 @@
 
 
 class Pool:
-    """Passes the state of the machines to the policy before each plan, and applies precedence.
+    """Passes the machines' state to the entitlement policy before each plan; applies precedence.
 
     A plan is one round of the leader's decisions on hires, returns and transfers. Precedence means
     that organisations below their target are served before those that have reached theirs.
--- a/runcourse/core/leader/share_balancer.py
+++ b/runcourse/core/leader/share_balancer.py
@@ -28,15 +28,20 @@
 # Tasks that may not use spot machines wait this long for an empty machine before tasks of other
 # shares are stopped for them.
 VACATE_AFTER_S = 2.0
-VACATE_EVERY_S = 1.0  # between two rounds of vacate requests
+VACATE_EVERY_S = 1.0  # between two rounds of vacate requests (stop tasks, then transfer)
 MACHINES_PER_VACATE = 1_000  # a round has one request, and one more per so many recorded machines
-YIELD_EVERY_S = 2.0  # between two rounds of yield requests
-# A share is asked to yield if the taker's demand per CPU is at least this many times its own.
+YIELD_EVERY_S = 2.0  # between two rounds of yield requests (transfer once tasks have ended)
+# A share is asked to yield machines (give them once their tasks have ended) if the taker's demand
+# per CPU is at least this many times its own.
 YIELD_IMBALANCE_FACTOR = 1.5
 
 
 class ShareBalancer:
-    """Asks owners to transfer, vacate or yield machines that other shares need more."""
+    """Asks owners to give machines to shares that need them more.
+
+    A machine is given at once if empty (transfer), after its tasks were stopped (vacate) or after
+    they have ended (yield).
+    """
 
     def __init__(
         self,
--- a/runcourse/core/leader/spare_capacity.py
+++ b/runcourse/core/leader/spare_capacity.py
@@ -23,7 +23,7 @@
 MAX_IDLE_S = 45.0  # upper bound of the time for which a machine in surplus is kept empty
 DRAIN_EVERY_S = 4.0  # between two requests to drain machines
 DRAIN_SURPLUS = 1.5  # least surplus at which machines are drained, in machines of the largest type
-DRAIN_SLACK = 1.25  # a share drains only with more unused capacity than this, in the same unit
+DRAIN_SLACK = 1.25  # a share drains only with more unused capacity (in largest machines)
 # Fraction of the surplus drained per request: one by one takes too long if the surplus is large.
 DRAIN_FRACTION = 1 / 8
 
--- a/runcourse/core/leader/transfers.py
+++ b/runcourse/core/leader/transfers.py
@@ -28,13 +28,13 @@
 from ..types import Condition, SendToPeer, Write
 from .demand import Demand, accepts
 
-VACATE_TIMEOUT_S = 15.0  # for a machine to become empty whose tasks are stopped for another share
+VACATE_TIMEOUT_S = 15.0  # time for a machine to empty whose tasks are stopped for another share
 # Bounds the record changes without a result to those that the write budget allows in this time.
 MAX_CHANGE_BACKLOG_S = 0.3
-# For the leader to request a machine that is kept empty for another organisation.
+# Time for the leader to request a machine that is kept empty for another organisation.
 CLAIM_TIMEOUT_S = 4.0
-# For a yielded machine, which takes no new tasks, to become empty; also the pause before it may be
-# reserved for another organisation again if it did not.
+# Time for a yielded machine, which takes no new tasks, to become empty; also the pause before it
+# may be reserved for another organisation again if it did not.
 YIELD_TIMEOUT_S = 45.0
 RETRY_EVERY_S = 0.3  # between two retries of all record changes that failed
 
--- a/runcourse/core/placement_policy.py
+++ b/runcourse/core/placement_policy.py
@@ -21,7 +21,7 @@
     """A running task that the placement rules allow to be moved."""
 
     placement: Placement
-    targets: Sequence[Machine]  # where it is allowed and fits; a service's image is there
+    targets: Sequence[Machine]  # where it is allowed and fits; a service's image is on them
 
 
 class MoveProposal(NamedTuple):
@@ -34,7 +34,7 @@
 
 
 class PlacementPolicy(Protocol):
-    """The interface of the core to the locality package."""
+    """The interface to the locality package, which scores machines and proposes moves of tasks."""
 
     @property
     def active(self) -> bool:
@@ -95,7 +95,7 @@
 
 
 class NoPolicy:
-    """The default: decisions are the same as without a placement policy."""
+    """The default placement policy: it changes no score and proposes no move."""
 
     active = False
     rebalances = False
--- a/runcourse/division_client.py
+++ b/runcourse/division_client.py
@@ -32,7 +32,7 @@
             "items": {
                 "type": "object",
                 "required": ["name"],
-                "additionalProperties": False,  # a division cannot change the teams
+                "additionalProperties": False,  # a change of limits cannot change the teams
                 "properties": {
                     "name": {"type": "string", "minLength": 1},
                     "minimum": {"type": "number", "minimum": 0},
--- a/runcourse/entitlements/policy.py
+++ b/runcourse/entitlements/policy.py
@@ -22,7 +22,7 @@
 
 
 class Entitlements:
-    """Implements `core.entitlement_policy.EntitlementPolicy`."""
+    """Computes how many CPUs each organisation may hold; implements `EntitlementPolicy`."""
 
     active = True
 
@@ -34,12 +34,12 @@
         )
         self._division = self._initial_division
         self._assignment = Assignment({}, NO_SHARE_TAKEN)
-        self.problem = NO_SHARE_TAKEN  # why the policy is not in force; empty if it is
+        self.problem = NO_SHARE_TAKEN  # why the limits are not applied; empty if they are
         self._leading = False
         self._pool = PoolState((), 0.0)
         self._unreached_since = LONG_AGO  # since when the targets are not reached without a break
         self._reached = False  # whether the organisations hold their targets
-        self._logged_outcomes: set[bool] = set()  # values of `_reached` logged for this division
+        self._logged_outcomes: set[bool] = set()  # values of `_reached` logged for these limits
 
     # --- team mapping and division -------------------------------------------------------
 
--- a/runcourse/entitlements/team_mapping.py
+++ b/runcourse/entitlements/team_mapping.py
@@ -21,7 +21,7 @@
 
     # Shares that have no team or serve several organisations are absent.
     organisation_by_share: Mapping[ShareNo, str]
-    problem: str  # empty if every share serves at most one organisation
+    problem: str  # why it can't be used; empty if every share serves at most one organisation
 
 
 def count_shares(organisations: Sequence[Organisation], shares: int) -> dict[str, int]:
--- a/runcourse/locality/fairness.py
+++ b/runcourse/locality/fairness.py
@@ -25,7 +25,7 @@
     elsewhere: float
 
 
-MIN_READERS = 2  # a source read by fewer teams needs no division
+MIN_READERS = 2  # the CPUs near a source read by fewer teams need not be shared out
 NO_CPUS_HELD = _HeldCpus(0.0, 0.0)
 
 
--- a/runcourse/locality/policy.py
+++ b/runcourse/locality/policy.py
@@ -20,7 +20,7 @@
 
 
 class LocalityPolicy:
-    """Weighs data and load in placement, and proposes bounded moves."""
+    """Scores machines by load and the time to read the data; proposes moves within limits."""
 
     def __init__(self, settings: LocalitySettings, guarantees: dict[str, float]) -> None:
         self.settings = settings
@@ -34,7 +34,7 @@
         self._observed: set[MachineId] = set()
 
     def replace(self, settings: LocalitySettings, now: Instant) -> list[str]:
-        """Applies other settings; returns a log line for each source that is damped from now on."""
+        """Applies other settings; returns a log line for each source that is now ignored."""
         self.settings = settings
         for component in (self.tracker, self.costs, self.rebalancer):
             component.settings = settings
--- a/runcourse/locality/rebalancer.py
+++ b/runcourse/locality/rebalancer.py
@@ -85,7 +85,7 @@
         owned_share = placement.machine.share
         if placement.attempt >> COUNTER_BITS >= owned_share.epoch:
             return True
-        # An earlier owner started it, and may have moved it as often as was allowed.
+        # An earlier owner of the share started the task, and may have moved it as often as allowed.
         return now >= later(
             self._owned_since.get(owned_share.number, now), self.settings.cooldown_most
         )
--- a/runcourse/locality/settings.py
+++ b/runcourse/locality/settings.py
@@ -53,8 +53,8 @@
     hot: Fraction = 0.9  # committed fraction of a machine from which it is hot
     cool: Fraction = 0.6  # committed fraction of a machine up to which it is cool
     dwell: NonNegative = 30.0  # time beyond a threshold before a machine turns cool, warm or hot
-    interval: Positive = 5.0  # between two plans of a share
-    sample: Count = 20  # machines that a plan considers
+    interval: Positive = 5.0  # between two plans of a share's moves
+    sample: Count = 20  # machines that a plan of moves considers
     moves_per_hour: NonNegative = 60.0  # limit of each share's begun moves
     burst: Count = 4  # moves that an unused budget accumulates at most
     cooldown: Positive = 300.0  # after a task's first move, until its next; doubles with each
--- a/runcourse/locality/sources.py
+++ b/runcourse/locality/sources.py
@@ -14,17 +14,18 @@
 
 
 class SourceTable:
-    """The sources in force, which may be replaced at run time, and the changes of their zones."""
+    """The configured data sources, replaceable at run time, and recent changes of their zones."""
 
     def __init__(self, settings: LocalitySettings) -> None:
         self.settings = settings
         self.sources = settings.sources
-        self._changes: dict[str, deque[Instant]] = {}  # times at which a source changed its zones
-        self._damped_until: dict[str, Instant] = {}  # when a damped source counts again, by source
+        self._changes: dict[str, deque[Instant]] = {}  # by source: recent changes of its zones
+        # By source: end of the time for which it is ignored (damped): its zones change too often.
+        self._damped_until: dict[str, Instant] = {}
         self._sources_by_reader: dict[tuple[str, str], tuple[Source, ...]] = {}
 
     def replace(self, settings: LocalitySettings, now: Instant) -> list[str]:
-        """Replaces the sources; returns the names of those that are damped from now on."""
+        """Replaces the sources; returns the names of those that are now ignored (damped)."""
         former_zones = {source.name: frozenset(source.zones) for source in self.sources}
         self.settings, self.sources = settings, settings.sources
         self._sources_by_reader.clear()
@@ -36,7 +37,7 @@
         ]
 
     def _record_zone_change(self, name: str, now: Instant) -> bool:
-        """Records that the source changed its zones; returns whether it is damped from now on."""
+        """Records that the source changed its zones; returns whether it is now ignored (damped)."""
         changes = self._changes.setdefault(name, deque())
         changes.append(now)
         while changes[0] <= now - self.settings.flap_window:
