--- a/runcourse/core/draining.py
+++ b/runcourse/core/draining.py
@@ -24,7 +24,7 @@
 
 
 class Draining:
-    """Stops or moves the tasks of machines that are to become empty."""
+    """Drains machines: they take no new tasks, and their tasks end, move or are stopped."""
 
     def __init__(
         self,
--- a/runcourse/core/finishes.py
+++ b/runcourse/core/finishes.py
@@ -14,13 +14,13 @@
 from .types import Condition, Write
 from .work import Work
 
-# Minimum between two writes of one job's finished tasks, except the write that completes the job.
+# Minimum time between two writes of one job's finished tasks, except the write that completes it.
 FLUSH_GAP_S = 1.0
 # Part of this node's write rate for writes of finished tasks that do not complete their job.
 FLUSH_RATE_FRACTION = 0.5
-RETRY_STORE_S = 0.3  # after a write that was not carried out, or not known to be
-RECHECK_S = 0.05  # until the next try, if this node may not command the share's machines
-RETRY_REJECTED_S = 5.0  # after a change that was too large
+RETRY_STORE_S = 0.3  # wait after a write that was not carried out, or not known to be
+RECHECK_S = 0.05  # wait before the next try, if this node may not command the share's machines
+RETRY_REJECTED_S = 5.0  # wait after the state service rejected a change as too large
 BYTES_PER_KB = 1024
 
 
--- a/runcourse/core/gang_placement.py
+++ b/runcourse/core/gang_placement.py
@@ -43,7 +43,7 @@
 class Plan(NamedTuple):
     """A machine for each task of a gang."""
 
-    slowest_fetch_s: float  # until the last machine holds the image
+    slowest_fetch_s: float  # seconds until the last machine holds the image
     score: float  # sum over the tasks; higher is better
     places: list[tuple[int, Machine]]  # task numbers and their machines
 
--- a/runcourse/core/gangs.py
+++ b/runcourse/core/gangs.py
@@ -23,7 +23,7 @@
 from .placement import Size
 from .work import Work, lost_work_s, stop_grace_s
 
-# Before an incomplete gang is tried again; doubles with each such attempt in a row.
+# Wait after an attempt in which not all tasks got ready; doubles with each such attempt in a row.
 INCOMPLETE_BACKOFF_S = 1.0
 MAX_INCOMPLETE_BACKOFF_S = 30.0
 MAX_BACKOFF_DOUBLINGS = 8
@@ -34,7 +34,7 @@
 
 
 class Gangs:
-    """Tracks the phase of each gang and stops gangs as a whole."""
+    """Tracks the phase of each gang (idle, placed, running, ending) and stops gangs as a whole."""
 
     def __init__(self, context: Context, fleet: Fleet, work: Mapping[JobId, Work]) -> None:
         self.context = context
--- a/runcourse/core/image_supply.py
+++ b/runcourse/core/image_supply.py
@@ -30,7 +30,7 @@
 
 
 class ImageSupply:
-    """Finds the images whose tasks leave machines without them to others.
+    """Finds the plentiful images: their tasks leave machines that lack the image to other tasks.
 
     This extends the placement of the SlackVM paper.
     """
--- a/runcourse/core/migrations.py
+++ b/runcourse/core/migrations.py
@@ -36,7 +36,7 @@
 
 
 class Migration:
-    """One move under way."""
+    """One move of a task to another machine, under way."""
 
     __slots__ = ("deadline", "placement", "proposal", "stopped", "target")
 
@@ -49,7 +49,7 @@
 
 
 class Migrations:
-    """Begins the moves that the policy proposes, and completes each or gives it up."""
+    """Begins the moves of tasks that the policy proposes; completes each or gives it up."""
 
     def __init__(
         self,
--- a/runcourse/core/preemption.py
+++ b/runcourse/core/preemption.py
@@ -45,8 +45,8 @@
         self.budget = budget
         self.work = work
         self.gangs = gangs
-        # Sizes for which nothing can be stopped to make room in this turn, by the properties of the
-        # request that decide it.
+        # Sizes for which no work can be stopped to make room in this turn, by the properties of the
+        # request that decide which work may be stopped.
         self._unsatisfiable: dict[tuple[Any, ...], list[Size]] = {}
 
     def begin_turn(self) -> None:
--- a/runcourse/core/quota.py
+++ b/runcourse/core/quota.py
@@ -27,7 +27,7 @@
 
 
 class Quota:
-    """Compares what teams hold with their limits and guarantees."""
+    """Compares what the placements of teams hold with their limits and guarantees."""
 
     def __init__(self, context: Context) -> None:
         self.teams: dict[Team, TeamLimits] = {
--- a/runcourse/core/scheduler.py
+++ b/runcourse/core/scheduler.py
@@ -44,7 +44,7 @@
 QUEUED_JOBS_PER_S = 5_000.0  # each waiting job delays the next turn by 1 / this, in seconds
 MAX_TURN_GAP_S = 0.25  # bounds on the gap between turns, which grows with the last turn's cost
 MIN_TURN_GAP_S = 0.02
-PROBE_RETRY_S = 1.0  # between checks of a job whose probe (see `_probe`) runs or lacks room
+PROBE_RETRY_S = 1.0  # between checks of a failing job whose trial (`_probe`) runs or lacks room
 MACHINE_FULL_BACKOFF_S = 1.0  # after a worker refused a start as full or busy
 UNKNOWN_TASK_BACKOFF_S = 1.0  # after a worker refused a start as unknown
 
@@ -67,7 +67,7 @@
         self.jobs = jobs
         self.quota = quota
         self.work: dict[JobId, Work] = {}
-        # Work that may have pending tasks, in the order in which it was opened.
+        # By share: the work of open jobs that may have tasks to start, in the order of opening.
         self._pending: dict[ShareNo, dict[JobId, Work]] = {}
         self.unmet: dict[ShareNo, list[UnmetDemand]] = {}
         self.order = QueueOrder(context, quota)
@@ -323,7 +323,8 @@
         self, owned_share: OwnedShare
     ) -> tuple[list[Work], list[Work], list[Machine]]:
         """Returns the jobs that may start tasks, those that fail on every machine, and one machine
-        of each kind that may hold tasks not located since the takeover.
+        of each type, zone and spot or on-demand kind that may still run tasks of the share's
+        earlier owner which this owner doesn't know of.
 
         Sets the wait reason of the jobs left out.
         """
@@ -412,10 +413,10 @@
             self.placement.serve_with_preemption(turn, work)
 
     def _probe(self, turn: Turn, work: Work) -> None:
-        """Tries a job that fails on every machine (a probe), and schedules the next check of it."""
+        """Starts a trial of a job that fails on every machine, and schedules its next check."""
         now = self.context.now
         self.placement.probe(turn, work)
-        # The next check is when the next probe is due, or soon while one runs or found no room.
+        # The next check is when the next trial is due, or soon while one runs or found no room.
         next_at = now + PROBE_RETRY_S if now >= work.not_before or work.zones else work.not_before
         self._backoff_ends_at = min(self._backoff_ends_at, Instant(next_at))
 
--- a/runcourse/core/scoring.py
+++ b/runcourse/core/scoring.py
@@ -38,10 +38,10 @@
         assert machine.type is not None
         used = machine.used if used is None else used
         score = progress_score(machine.type.size, used, job.size)
-        # Extension of the paper: seconds until the machine holds the image.
+        # Extension of the SlackVM paper: seconds until the machine holds the image.
         score -= self.context.operators.image_weight * fetch_s(job, machine)
         if self.policy.active:
-            # Extension of the paper: seconds of delay by data transfer and slowdown.
+            # Extension of the SlackVM paper: seconds of delay by data transfer and slowdown.
             cost_s = self.policy.cost_s(job.spec, machine, self.context.now)
             score -= self.context.operators.image_weight * cost_s
         if self.context.operators.gather_weight:
@@ -67,7 +67,7 @@
         )
         if job.spec.service and fill >= max_fill:
             fill = max_fill - fill
-        # Work that may use spot machines uses others only where those are kept for replicas anyway.
+        # Arrays and gangs use on-demand machines only where those are kept for replicas anyway.
         penalty = (
             0.0
             if machine.record.spot or machine.service_cpus > 0 or job.spec.service
--- a/runcourse/core/task_placement.py
+++ b/runcourse/core/task_placement.py
@@ -26,7 +26,8 @@
 MAX_OVERDUE_CREDIT = 50.0  # tasks; limit on such starts that a share accumulates
 # Seconds after submission in which a service is placed on no machine that is reserved for a gang.
 REPLICA_AVOIDS_RESERVED_S = 3.0
-# The same for an array, which after that may use such machines only for its first task.
+# Seconds after submission in which an array is placed on no machine that is reserved for a gang;
+# after that only its first task may be.
 ARRAY_AVOIDS_RESERVED_S = 45.0
 NO_ROOM = "no machine with room"
 TEAM_LIMIT = "team limit"
@@ -35,7 +36,7 @@
 
 
 class TaskPlacement:
-    """Places the tasks of waiting jobs within a turn."""
+    """Places the tasks of waiting jobs within a turn (one pass over a share's waiting jobs)."""
 
     def __init__(
         self,
--- a/runcourse/core/turn.py
+++ b/runcourse/core/turn.py
@@ -16,7 +16,7 @@
 
 
 class UnmetDemand(NamedTuple):
-    """Tasks of a job for which a turn found no machine."""
+    """Tasks of a job for which a turn (a pass over the waiting jobs) found no machine."""
 
     job: Job
     missing: int
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Turn:
-    """The machines of a share and the decisions made about them in one turn."""
+    """The machines of a share and the decisions made about them in a pass over its waiting jobs."""
 
     owned_share: OwnedShare
     usable: Callable[[], list[Machine]]  # all that accept new tasks; computed on the first call
--- a/runcourse/core/unlocated.py
+++ b/runcourse/core/unlocated.py
@@ -20,7 +20,7 @@
 
 
 class UnlocatedTasks:
-    """Determines which jobs may have unlocated tasks, and the room that these may take."""
+    """Finds jobs that may have unlocated tasks of an earlier owner, and the room of these tasks."""
 
     def __init__(
         self, context: Context, shares: Shares, fleet: Fleet, work: Mapping[JobId, Work]
@@ -50,9 +50,10 @@
             del self._cancelled[uid]
 
     def unsettled_representatives(self, owned_share: OwnedShare) -> list[Machine]:
-        """Returns one unsettled machine of each type, zone and spot kind; none if all is settled.
+        """Returns one unsettled machine of each type, zone and spot or on-demand kind.
 
-        Unsettled machines may hold tasks that are not located yet.
+        Unsettled machines may hold tasks of an earlier owner that are not located yet. None is
+        returned if all machines are settled.
         """
         if owned_share.settled:
             return []
--- a/runcourse/core/users.py
+++ b/runcourse/core/users.py
@@ -278,20 +278,21 @@
         share = self.shares.of_team(Team(job.spec.team))
         owner = self.shares.live_owner(share)
         if owner is None:
-            # No node is certain to learn of it in time: a former owner may hold grants.
+            # A former owner may still start tasks, on time granted by a majority, and no owner is
+            # there to confirm the cancellation.
             self.refuse(request, 503, RETRY_AFTER_S, "the job's share has no owner at the moment")
             return
         key = JOB + uid
 
         def result(outcome: CommitResult, stamp: Stamp) -> None:
             if outcome is CommitResult.OK:
-                # To all peers, because the owner may have lost contact and hold grants of any of
-                # them: their next grants carry the cancellation.
+                # To all peers, because the owner may be cut off from the store and act on time that
+                # any of them granted: their next grants carry the cancellation.
                 self.context.emit(SendToPeer(None, CancellationNotice(uid)))
                 self._answer_final(request, uid)
             elif outcome is CommitResult.UNKNOWN:
-                # It may have been stored, and other nodes may read it: they too report it only once
-                # it is confirmed.
+                # The cancellation may have been stored, and other nodes may read it: they too
+                # report it only once it is confirmed.
                 self.refuse(request, 503, RETRY_AFTER_S, "not known to be stored")
             elif outcome is CommitResult.CONFLICT and tries > 1:
                 self._after_sync(request, lambda: self._cancel(request, uid, tries - 1))
--- a/runcourse/core/work.py
+++ b/runcourse/core/work.py
@@ -46,18 +46,18 @@
         self.flushed_at = LONG_AGO  # when the newest such write was queued
         self.flush_retry_at = LONG_AGO  # no such write earlier, after one that failed
         self.not_before = LONG_AGO  # no task is started earlier, after failures or refusals
-        # Until then a service or gang is served first, and no task of the job is preempted.
+        # End of the time in which a service or gang is served first and its tasks not preempted.
         self.prioritised_until = LONG_AGO
         self.failure_counts: dict[MachineId, int] = {}  # failures per machine
         self.max_time_to_failure_s = 0.0  # longest time from a start to its failure
         self.fails_everywhere = False  # its tasks seem to fail on every machine
-        # Tasks of which machines may still list a former attempt.
+        # Numbers of the tasks of which some machine may still list a former attempt.
         self.attempted: set[int] = set()
         self.probe_count = 0  # delayed retries since `fails_everywhere` was set
         self.wait_reason = ""  # why its next task is not started
         # Only for gangs, which have one attempt for all tasks:
         self.attempt: Attempt | None = None
-        self.started = False  # all tasks ran at the same time, or may have
+        self.started = False  # all tasks of the current attempt may have run at the same time
         self.ending = False  # the attempt is over, but tasks of it may remain
         self.reserved_at = LONG_AGO  # when the current reservation period began
         self.incomplete_attempts = 0  # consecutive attempts not complete in time
