--- a/runcourse/core/authority.py
+++ b/runcourse/core/authority.py
@@ -36,15 +36,15 @@
 # Maximum age of the last failed request for which a grant is given; longer than the timeout of
 # catch-up reads and lease renewals.
 RECENT_FAILURE_S = 2.0
-RECENT_CONTACT_S = 1.0  # a node with a successful request within this time gives no grants
-MAX_CANCELLATIONS_IN_GRANT = 200  # a grant that would have to list more is refused
+RECENT_CONTACT_S = 1.0  # a node that the state service served so recently gives no grants
+MAX_CANCELLATIONS_IN_GRANT = 200  # a grant that would list more cancelled jobs is refused
 INCARNATION_BITS = 64
 REQUEST_NUMBER_BITS = 48
 MS_PER_S = 1000
 
 
 class Authority:
-    """This node's lease and the quorum grants that extend its authority in an outage."""
+    """This node's permission to act: its lease, and in an outage the time granted by a majority."""
 
     def __init__(
         self,
@@ -70,21 +70,24 @@
         self.grant_s = max(self.ttl * GRANT_TTL_FRACTION, MIN_GRANT_S)
         self.lease: int | None = None
         self.live = False  # the live key exists, as far as this node knows
-        self.renewal_sent_at = LONG_AGO  # of the newest renewal that succeeded
+        self.renewal_sent_at = LONG_AGO  # of the newest lease renewal that succeeded
         self._on_live = on_live
         self._on_lost = on_lost
         self._request_pending = False
         self._next_request_at = Instant(0.0)
-        self._attested_ends: dict[Member, Incarnation] = {}  # by member, its ended incarnation
-        self._never_grant: set[Incarnation] = set()  # incarnations whose leases this node saw end
-        self._grants_given: dict[Member, Instant] = {}  # end of the grant given to a member
-        self._grants_held: dict[Member, Instant] = {}  # end of the grant received from a member
+        self._attested_ends: dict[Member, Incarnation] = {}  # by member, its ended process's id
+        # Incarnations (identities of processes) whose leases this node saw end.
+        self._never_grant: set[Incarnation] = set()
+        self._grants_given: dict[Member, Instant] = {}  # by member, end of the time granted to it
+        self._grants_held: dict[Member, Instant] = {}  # by member, end of the time it granted
         # Starts at a random number, so that a response to an earlier process is not taken for one
         # to this process.
         self._request_number = context.rng.getrandbits(REQUEST_NUMBER_BITS)
         self._last_request_at = LONG_AGO
         self._request_sent_at: dict[int, Instant] = {}
-        self._outage_refuted = False  # a peer has contact, so the grants no longer count
+        # A peer reaches the state service, so only this node is cut off: grants don't extend its
+        # authority.
+        self._outage_refuted = False
         store.listen(LIVE, self._live_changed)
 
     # --- queries -------------------------------------------------------------------------
@@ -103,8 +106,9 @@
     def ends_at(self) -> Instant:
         """Returns the instant until which this node may act, as far as it knows now.
 
-        It follows from the lease and the contact, or from the grants of a majority. Effects that
-        rest on this authority must not leave the process after that instant.
+        It is the end of the time-to-live counted from the last lease renewal and the last
+        successful read of the state service, or later by the grants of a majority. Messages and
+        writes that need the authority must not be sent after it.
         """
         if not self.live or self._outage_refuted:
             return self.until
@@ -329,7 +333,7 @@
             self._grants_held[member] = max(until, self._grants_held.get(member, until))
         else:
             self._grants_held.pop(member, None)
-            # Contact at any peer shows that the state service works and only this node has no
-            # contact: its grants no longer count.
+            # A peer that reaches the state service shows that the service works and only this
+            # node is cut off: its grants no longer count.
             if message.contact and self.context.now >= self.until:
                 self._outage_refuted = True
--- a/runcourse/core/confirmations.py
+++ b/runcourse/core/confirmations.py
@@ -49,7 +49,7 @@
 
 
 class Confirmations:
-    """Collects the evidence and calls the callbacks that wait for it."""
+    """Collects the evidence that jobs are cancelled; calls the callbacks that wait for it."""
 
     def __init__(
         self, context: Context, store: Store, authority: Authority, shares: Shares, jobs: Jobs
--- a/runcourse/core/failures.py
+++ b/runcourse/core/failures.py
@@ -21,7 +21,9 @@
 MAX_RETRY_DELAY_S = 60.0
 MAX_RETRY_DOUBLINGS = 8
 FAULTY_MACHINE_JOBS = 2  # a machine is faulty if so many jobs, not at fault, failed on it
-FAULT_PERIOD_S = 120.0  # in which these failures count, and for which the machine is quarantined
+# Time in which failures of jobs that are not at fault count against a machine, and for which a
+# faulty machine is quarantined.
+FAULT_PERIOD_S = 120.0
 FAILS_EVERYWHERE_REASON = "fails wherever it starts"
 FIRST_FAILURE_PAUSE_S = 5.0  # a machine gets no new tasks for so long after a job first failed
 # A task that runs for longer than this factor times the longest time to a failure of its job, and
--- a/runcourse/core/ids.py
+++ b/runcourse/core/ids.py
@@ -19,7 +19,7 @@
 
 Instant = NewType("Instant", float)  # seconds on this process's steady clock
 
-COUNTER_BITS = 20  # low bits of a token or attempt; above them the epoch, a stamp
+COUNTER_BITS = 20  # low bits of a token or attempt number; above: the epoch, a revision
 PARSED_TASKS_CACHED = 16384
 ABSENT = Stamp(0)
 NO_TOKEN = Token(0)
--- a/runcourse/core/machine.py
+++ b/runcourse/core/machine.py
@@ -192,7 +192,7 @@
         self, id: MachineId, record: Record, owned_share: OwnedShare, now: Instant
     ) -> None:
         self.id = id
-        self.index: MachineIndex | None = None  # of its share
+        self.index: MachineIndex | None = None  # of its share's machines
         self.position = 0  # in the order in which machines were added to the share
         self.record = record
         self.share = owned_share
@@ -203,20 +203,20 @@
         # Session and sequence number of the newest report; answers to commands and probes
         # don't count.
         self.report_number = (Session(0), -1)
-        self.min_report_token = Token(0)  # a report with a lower one precedes a restart
+        self.min_report_token = Token(0)  # a report with a lower token precedes a restart
         self.probed_at = LONG_AGO
         self.probe_in_flight = False
         self.last_reached_at = LONG_AGO  # when the worker last proved to be reachable
         self.token_seen = Token(0)
         self.counter = 0  # low part of the token; raised to invalidate earlier commands
         # Settled: it holds no task of an earlier owner that this one does not know. A machine
-        # recorded after the takeover is: it was new then, or was transferred while empty.
+        # recorded after the takeover is settled: it was new then, or was transferred while empty.
         self.settled = record.stamp > owned_share.epoch
         self.expired_session = Session(0)  # newest session whose lease expired
         self.last_answer_at = now if self.settled else owned_share.since
         self.last_message_at = LONG_AGO
         self.up_since = Instant(0.0)
-        self.notice_until: Instant | None = None
+        self.notice_until: Instant | None = None  # when the cloud takes it away, if announced
         self.placements: dict[Key, Placement] = {}
         self.used = ZERO_SIZE
         self.reservations: dict[TaskId, Size] = {}  # room for tasks that are being moved here
@@ -229,8 +229,9 @@
         self.command_in_flight = False
         self.next_command_at = now
         # A report doesn't prove that the worker is reachable: only a token of this node that the
-        # worker reports proves that answers or commands arrive there. Until it reports this one,
-        # no new task is placed there, and an order of unknown outcome may still be executed.
+        # worker reports proves that answers or commands arrive there. Until it reports
+        # `suspect_token`, no new task is placed there, and an order of unknown outcome may still be
+        # executed.
         self.suspect_token = self.base_token
         self.suspected_at = now
         self.full_until = now  # after its worker refused a start as full or busy
@@ -247,7 +248,8 @@
     def unsettle(self) -> None:
         """Records that the machine may hold unreported tasks of an earlier owner.
 
-        The index is not notified of the opposite change: it reads `settled`.
+        The index isn't notified when the machine becomes settled again: its queries check
+        `settled` of each candidate.
         """
         self.settled = False
         if self.index is not None:
--- a/runcourse/core/machines.py
+++ b/runcourse/core/machines.py
@@ -43,9 +43,10 @@
 RELAY_REPORT_INTERVALS = 1.25
 RELAY_LEASE_FRACTION = 0.7
 
-# Added to LATE_REPORT_INTERVALS report intervals: the time since a machine's last message
-OVERDUE_MARGIN_S = 1.5  # after which its report counts as overdue
-USABLE_MARGIN_S = 1.0  # after which it gets no new tasks
+# Each is added to LATE_REPORT_INTERVALS report intervals; the sum counts from a machine's last
+# message.
+OVERDUE_MARGIN_S = 1.5  # after the sum, the machine's report counts as overdue
+USABLE_MARGIN_S = 1.0  # after the sum, the machine gets no new tasks
 
 # Called with a machine's id and its record before and after a change.
 RecordWatcher = Callable[[MachineId, Record | None, Record | None], None]
@@ -73,7 +74,7 @@
         self.observer = observer
         self.records: dict[MachineId, Record] = {}
         self.groups = MachineGroups()  # counts of all records by group
-        self.leaving: dict[MachineId, None] = {}  # recorded as about to be returned
+        self.leaving: dict[MachineId, None] = {}  # recorded as about to be returned to the cloud
         self.watch_record: RecordWatcher = _ignore_record  # set by the leader's fleet planning
         self.machines: dict[MachineId, Machine] = {}
         self.types: dict[str, MachineType] = {}
--- a/runcourse/core/reports.py
+++ b/runcourse/core/reports.py
@@ -114,7 +114,7 @@
             if machine.session:
                 for placement in list(machine.placements.values()):
                     self.placements.remove(placement, "session")
-                # Its lease expired, so answers may not reach it.
+                # The worker's lease expired, so answers may not reach it.
                 machine.mark_suspected(now)
                 self.commands.enqueue(machine.id)
             machine.images.clear()
@@ -211,7 +211,7 @@
             self.commands.suspect(machine)
 
     def note_route(self, machine: Machine, relayed: bool, previous_message_at: Instant) -> None:
-        """Marks the machine as suspected if its report's route means that an answer may be lost.
+        """Marks the machine as possibly unreachable if an answer to its reports may be lost.
 
         That is so if a peer relayed the report, or if it came after a pause since
         `previous_message_at` that is long enough for the worker to have tried other nodes.
--- a/runcourse/core/running_counts.py
+++ b/runcourse/core/running_counts.py
@@ -15,10 +15,10 @@
 
 
 class RunningPages:
-    """Splits this controller's counts into the pages of its heartbeats."""
+    """Splits this controller's counts of running tasks into the pages of its heartbeats."""
 
     def __init__(self, counts: Mapping[JobId, int], changed: dict[JobId, None]) -> None:
-        self._counts = counts  # of jobs with running tasks
+        self._counts = counts  # running tasks by job, for jobs that have any
         self._changed = changed  # jobs whose count changed; emptied here
         self._remaining: list[JobId] = []  # jobs that the present round has not sent yet
 
@@ -43,7 +43,7 @@
 
 
 class PeerCounts:
-    """The counts received from the other controllers."""
+    """The counts of running tasks received from the other controllers."""
 
     def __init__(self) -> None:
         # Of each member: the counts of the present round and of the previous one.
--- a/runcourse/core/shares.py
+++ b/runcourse/core/shares.py
@@ -48,8 +48,9 @@
         self.number = number
         self.epoch = epoch
         self.since = since
-        self.settled = False  # no machine may hold an unknown task of an earlier owner
-        self.handing_back = False  # a handback is in flight: its machines get no commands
+        self.settled = False  # no machine can hold an earlier owner's task unknown here
+        # Whether its return to the home node is being stored; its machines then get no commands.
+        self.handing_back = False
         self._attempts = 0
 
     def next_attempt(self) -> Attempt:
@@ -60,14 +61,15 @@
     def has_attempt_numbers(self, count: int, applied: Stamp) -> bool:
         """Returns whether attempt numbers remain for `count` starts.
 
-        A counter that exceeds its bits is carried into the epoch, which must not reach a revision
-        that a later owner may get as its epoch.
+        An attempt number is the share's epoch (the store revision at which this node took it) and
+        a counter. A counter that overflows raises the epoch; it may rise only to a revision that
+        exists already, since a later owner gets a later one.
         """
         return highest_epoch(self.epoch, self._attempts + count) <= applied
 
 
 class Shares:
-    """The table of owners, and this node's part in it."""
+    """The table of the shares' owners, and this node's takeovers and handbacks of shares."""
 
     def __init__(
         self,
@@ -84,12 +86,12 @@
         self._on_gain = on_gain
         self._on_loss = on_loss
         self._takeovers_pending: set[ShareNo] = set()  # requested, not answered yet
-        self._former_owner: dict[ShareNo, Member] = {}  # by share being taken over
+        self._former_owner: dict[ShareNo, Member] = {}  # by share that this node takes over
         self._share_by_team: dict[Team, ShareNo] = {}
         self._ownerless_since: dict[ShareNo, Instant] = {}
         self._live_since: dict[Member, tuple[Incarnation, Instant]] = {}
-        # Both are set by the node. The first returns the teams in the order in which they are
-        # assigned to the given number of shares; empty: the order of their names. The second
+        # Set by the node. `team_order` returns the teams in the order in which they are assigned to
+        # the given number of shares; empty: the order of their names. `all_machines_reachable`
         # returns whether all machines of a share that ever came up report and are reachable.
         self.team_order: Callable[[int], list[str]] = lambda shares: []
         self.all_machines_reachable: Callable[[ShareNo], bool] = lambda share: True
--- a/runcourse/core/store.py
+++ b/runcourse/core/store.py
@@ -23,8 +23,10 @@
 from .stored_values import parse
 from .types import LATE, Commit, Condition, Follow, Outcome, ReadAll, Write
 
-FRESH_S = 1.5  # maximum age of the read that an answer rests on, when the answer leaves
-GIVE_UP_AFTER_S = 1.0  # since the last contact; then queued changes with a deadline are refused
+FRESH_S = 1.5  # maximum age of the read that an answer is based on, when the answer is sent
+# Time since the state service last served a request, after which queued changes with a deadline
+# are refused.
+GIVE_UP_AFTER_S = 1.0
 THROTTLED_S = 0.1  # no changes are sent for so long after a 429
 THROTTLED_RATE_FACTOR = 0.7  # applied to the rate of changes after a 429
 MAX_TRIES = 4  # sendings of a change that the state service answers with a 429
--- a/runcourse/core/stored_values.py
+++ b/runcourse/core/stored_values.py
@@ -32,19 +32,19 @@
     """A member's present process. The key is attached to the process's lease."""
 
     incarnation: Incarnation = field(name="inc")
-    gone: list[Incarnation] = []  # incarnations whose leases it saw end
+    gone: list[Incarnation] = []  # incarnations (ids of processes) whose leases it saw end
     version: int = FIRST_VERSION  # of the formats that it reads and writes
 
 
 class LeaderValue(Struct, frozen=True):
-    """The leader. The key is attached to its lease."""
+    """The node that is the leader. The key is attached to that node's lease."""
 
     member: Member
     incarnation: Incarnation = field(name="inc")
 
 
 class ShareValue(Struct, frozen=True):
-    """The owner of a share."""
+    """The node that owns a share."""
 
     owner: Member
     incarnation: Incarnation = field(name="inc")
@@ -101,7 +101,7 @@
 
 
 class DivisionValue(Struct, frozen=True):
-    """The division in force and its latest predecessors, the newest first."""
+    """The organisations' limits in force and their latest predecessors, the newest first."""
 
     current: Division
     past: list[Division] = []
--- a/runcourse/core/types.py
+++ b/runcourse/core/types.py
@@ -147,7 +147,7 @@
 
 # --- effects -----------------------------------------------------------------------------
 #
-# An effect that rests on authority or on a read must not leave the process after `until`. The
+# An effect that needs this node's authority or a recent read must not be sent after `until`. The
 # process may pause between a decision and the sending, while its clocks run on.
 
 
@@ -162,7 +162,7 @@
 
 
 class DivisionAnswer(msgspec.Struct):
-    """The answer to an operator's request: its result and the division in force."""
+    """The answer to an operator's request: its result and the organisations' limits in force."""
 
     request: int
     result: str  # ok, refused, unreachable, unknown
--- a/runcourse/core/worker_commands.py
+++ b/runcourse/core/worker_commands.py
@@ -40,7 +40,8 @@
         # Suspected machines (not proved to be reachable) that wait for a connection.
         self._waiting_suspected: dict[MachineId, None] = {}
         self._paused_until: dict[MachineId, Instant] = {}  # earliest time of the next command
-        self._pause_ends: list[tuple[Instant, MachineId]] = []  # heap of those; some outdated
+        # Heap of the ends of pauses in `_paused_until`; some are outdated.
+        self._pause_ends: list[tuple[Instant, MachineId]] = []
         # Commands and probes are bounded by the sockets reserved for them. Machines that may not
         # answer use at most half of these, so that the others never wait for them.
         sockets = context.platform.settings.quota.sockets(len(context.members))
@@ -208,7 +209,7 @@
                 continue
             machine = self.machines.get(id)
             if machine is not None and machine.command_in_flight:
-                continue  # the end of its command queues it
+                continue  # it is queued again when its command in flight ends
             del self._paused_until[id]
             if machine is not None:
                 self._dirty[id] = None
--- a/runcourse/net/clients.py
+++ b/runcourse/net/clients.py
@@ -36,7 +36,7 @@
 
 
 class ServiceClient:
-    """Makes calls; counts malformed answers and logs the first for each kind of request."""
+    """Sends requests; counts malformed answers and logs the first for each kind of request."""
 
     def __init__(self) -> None:
         self.malformed: dict[str, int] = {}
--- a/runcourse/net/http.py
+++ b/runcourse/net/http.py
@@ -104,7 +104,7 @@
         self._max_limited = max_limited
         # Kept connections of clients of `limited_path`, oldest first.
         self._limited: dict[asyncio.StreamWriter, None] = {}
-        # Those of them that the next answer closes.
+        # Kept connections of clients of `limited_path` that the next answer closes.
         self._closing: set[asyncio.StreamWriter] = set()
         self._closed_over_limit = 0
         self._open: set[asyncio.StreamWriter] = set()
--- a/runcourse/wire/peer_messages.py
+++ b/runcourse/wire/peer_messages.py
@@ -36,7 +36,7 @@
 
 
 class Heartbeat(Struct, frozen=True, tag_field="t", tag="hello", omit_defaults=True):
-    """Sent to all peers every second."""
+    """The sender's state, sent to all peers every second."""
 
     contact: bool  # whether the sender has contact with the state service
     running: dict[JobId, int]  # running tasks by job of the sender's shares, one page
